--- a/src/include/damaskworks/idempotency.h
+++ b/src/include/damaskworks/idempotency.h
@@ -1,7 +1,8 @@
 /// \file
-/// Decisions on requests that carry an idempotency key: at most one of all requests with the same key
-/// is run, through any number of entry VMs. Each key has one claim, a row of the platform's table,
-/// that is written under the condition that there is none before the request is dispatched.
+/// Decisions on requests with an idempotency key: of all requests with the same key, sent through any
+/// number of entry VMs, at most one is run. Each key has at most one claim, a row of the platform's
+/// table. An entry VM writes it before it dispatches the request, on condition that there is none yet.
+/// The functions are pure. Claims are timed by the wall clock.
 #pragma once
 
 #include <damaskworks/names.h>
@@ -16,16 +17,16 @@
 
 namespace damask::idempotency {
 
-/// A claim is kept for at least this long after it was made, and for at most twice as long.
-inline constexpr std::chrono::hours retention { 12 };
-/// Longest answer that is kept for repeats, in bytes of headers and body.
+/// A claim is valid for at least this long after it was made, and for at most twice as long.
+inline constexpr std::chrono::hours claimRetention { 12 };
+/// Longest response that is stored for repeats, in bytes of headers and body.
 inline constexpr std::size_t maxKeptAnswer = 16 * 1024;
 
-/// What is known of the request that made a claim.
+/// What is known about the request that made a claim.
 enum class ClaimState {
-    Running, ///< it may be run, now or later, by its holder only
-    Done, ///< its answer has come
-    Unknown, ///< it may have run; no answer came
+    Running, ///< its holder, and no other, may run it now or later
+    Done, ///< its response has arrived
+    Unknown, ///< it may have run, but no response arrived
 };
 
 inline constexpr NameTable<ClaimState, 3> claimStateNames { {
@@ -34,48 +35,50 @@
     { ClaimState::Unknown, "unknown" },
 } };
 
-/// An answer kept for repeats.
+/// A response that is stored for repeats.
 struct KeptAnswer {
     int status = 0;
     std::vector<std::pair<std::string, std::string>> headers;
     std::string body;
 };
 
-/// The claim of one key.
+/// The claim on one idempotency key.
 struct Claim {
-    std::string node; ///< holder
-    std::uint64_t incarnation = 0; ///< of the holder
-    std::uint64_t serial = 0; ///< of the claim among all of its holder
-    std::string fingerprint; ///< of the request
+    std::string node; ///< node id of the holder: the entry VM that made the claim
+    std::uint64_t incarnation = 0; ///< of the holder; changes with each restart
+    std::uint64_t serial = 0; ///< number of the claim among those of its holder
+    std::string fingerprint; ///< hash of the request
     ClaimState state = ClaimState::Running;
-    std::optional<KeptAnswer> answer; ///< for Done; nothing if it was too long
+    std::optional<KeptAnswer> answer; ///< for Done; std::nullopt if it was too long to store
 };
 
-/// What to do with a request whose key is claimed already.
+/// What to do with a repeat: a request whose key has a claim already.
 enum class Verdict {
-    Replay, ///< give the kept answer
+    Replay, ///< reply with the stored response
     InUse, ///< refuse: the first request is running
     OutcomeUnknown, ///< refuse: the first request may have run
-    AnswerNotKept, ///< refuse: the first request has run and its answer was too long to keep
-    OtherRequest, ///< refuse: the key was used for another request
+    ResponseNotStored, ///< refuse: the first request has run, but its response was too long to store
+    OtherRequest, ///< refuse: the key was used for a different request
 };
 
 inline constexpr NameTable<Verdict, 5> verdictNames { {
     { Verdict::Replay, "replay" },
     { Verdict::InUse, "key_in_use" },
     { Verdict::OutcomeUnknown, "key_outcome_unknown" },
-    { Verdict::AnswerNotKept, "key_answer_not_kept" },
+    { Verdict::ResponseNotStored, "key_answer_not_kept" },
     { Verdict::OtherRequest, "key_of_other_request" },
 } };
 
-/// Decides on a repeat; \p holderLives: the holder is known to run with the claim's incarnation.
-Verdict judge(const Claim& claim, std::string_view fingerprint, bool holderLives);
+/// Decides what to do with a repeat. \p isHolderAlive says whether the claim's holder is known to run with
+/// the claim's incarnation.
+Verdict judge(const Claim& claim, std::string_view fingerprint, bool isHolderAlive);
 
-/// The keys of the rows in which a claim can stand at \p now; the middle one is written. All three
-/// are named in the condition, so that clocks of entry VMs may differ by up to the retention.
+/// Keys of the three rows that can hold the claim of an idempotency key with hash \p hash at \p now. A new
+/// claim is written to the middle one. Its write is conditional on all three being absent, so that the
+/// clocks of entry VMs may differ by up to claimRetention.
 std::vector<std::string> claimRows(std::chrono::system_clock::time_point now, std::string_view hash);
-/// Prefix of one slice of the rows that are older than any repeat can ask for; \p slice is taken
-/// modulo the number of slices.
+/// Key prefix of one slice of the expired claim rows, which no repeat can read any more. Successive
+/// values of \p slice go round all slices.
 std::string expiredPrefix(std::chrono::system_clock::time_point now, std::uint64_t slice);
 
 /// Whether \p key is 1 to 255 printable ASCII characters.
--- a/src/libkernel/idempotency.cpp
+++ b/src/libkernel/idempotency.cpp
@@ -7,28 +7,30 @@
 namespace {
 
 constexpr std::size_t maxKeyLength = 255;
-/// Buckets in which a repeat may still look: its own, its neighbours and theirs.
-constexpr std::int64_t bucketsInUse = 3;
-constexpr std::int64_t bucketsSwept = 4;
-constexpr std::uint64_t slicesPerBucket = 4096;
+/// Age, in buckets, from which a bucket is expired. A repeat reads its own bucket and both neighbours,
+/// and the clock of its entry VM may be one bucket behind.
+constexpr std::int64_t expiredBucketAge = 3;
+constexpr std::int64_t sweptBuckets = 4; ///< expired buckets that are searched for rows to delete
+constexpr std::uint64_t slicesPerBucket = 4096; ///< one for each prefix of three hexadecimal digits
 
+/// Number of the bucket for claims made at \p now. A bucket spans claimRetention.
 std::int64_t bucketOf(std::chrono::system_clock::time_point now)
 {
-    return std::chrono::duration_cast<std::chrono::hours>(now.time_since_epoch()) / retention;
+    return std::chrono::duration_cast<std::chrono::hours>(now.time_since_epoch()) / claimRetention;
 }
 
 std::string bucketPrefix(std::int64_t bucket) { return "k/" + std::to_string(bucket) + "/"; }
 
 } // namespace
 
-Verdict judge(const Claim& claim, std::string_view fingerprint, bool holderLives)
+Verdict judge(const Claim& claim, std::string_view fingerprint, bool isHolderAlive)
 {
     if (claim.fingerprint != fingerprint)
         return Verdict::OtherRequest;
     if (claim.state == ClaimState::Done)
-        return claim.answer ? Verdict::Replay : Verdict::AnswerNotKept;
-    const bool runs = claim.state == ClaimState::Running && holderLives;
-    return runs ? Verdict::InUse : Verdict::OutcomeUnknown;
+        return claim.answer ? Verdict::Replay : Verdict::ResponseNotStored;
+    const bool isRunning = claim.state == ClaimState::Running && isHolderAlive;
+    return isRunning ? Verdict::InUse : Verdict::OutcomeUnknown;
 }
 
 std::vector<std::string> claimRows(std::chrono::system_clock::time_point now, std::string_view hash)
@@ -43,8 +45,8 @@
 std::string expiredPrefix(std::chrono::system_clock::time_point now, std::uint64_t slice)
 {
     constexpr std::string_view digits = "0123456789abcdef";
-    const auto age = static_cast<std::int64_t>(slice / slicesPerBucket) % bucketsSwept;
-    auto prefix = bucketPrefix(bucketOf(now) - bucketsInUse - age);
+    const auto age = static_cast<std::int64_t>(slice / slicesPerBucket) % sweptBuckets;
+    auto prefix = bucketPrefix(bucketOf(now) - expiredBucketAge - age);
     for (int shift : { 8, 4, 0 })
         prefix += digits[(slice >> shift) & 0xf];
     return prefix;
--- a/src/libkernel/idempotency_test.cpp
+++ b/src/libkernel/idempotency_test.cpp
@@ -1,4 +1,4 @@
-/// Claims of idempotency keys: one run a key, whatever is lost, repeated or stopped.
+/// Claims of idempotency keys: at most one run per key despite lost replies, repeats and restarts.
 #include <boost/test/unit_test.hpp>
 
 #include <damaskworks/idempotency.h>
@@ -18,7 +18,7 @@
     int version = 0;
 };
 
-/// A node that is somewhere between a caller's request and its record.
+/// An entry VM that may hold a claim whose outcome is not recorded yet.
 struct Node {
     std::uint64_t incarnation = 1;
     std::optional<Claim> held;
@@ -26,15 +26,15 @@
     bool dispatched = false;
 };
 
-/// Entry VMs that claim one key in a table with conditional writes; the steps interleave freely.
-struct World {
+/// Entry VMs that claim one key in a table with conditional writes. Their steps interleave in any order.
+struct Simulation {
     std::map<std::string, Row> table;
     std::vector<Node> nodes { nodeCount };
     std::chrono::system_clock::time_point now { 1000h };
     int runs = 0;
     int nextVersion = 1;
 
-    Row* present()
+    Row* currentRow()
     {
         for (const auto& key : claimRows(now, "h")) {
             if (auto found = table.find(key); found != table.end())
@@ -43,24 +43,25 @@
         return nullptr;
     }
 
-    bool lives(const Claim& claim) const
+    bool isHolderAlive(const Claim& claim) const
     {
         return nodes[std::stoul(claim.node)].incarnation == claim.incarnation;
     }
 
-    /// The request arrives at the node; it is taken only if the claim is written.
-    void arrive(std::uint64_t index, bool answerLost)
+    /// A request arrives at the node. The node holds the claim only if the table confirmed its write;
+    /// \p isReplyLost means that the write took effect but its reply did not arrive.
+    void arrive(std::uint64_t index, bool isReplyLost)
     {
         auto& node = nodes[index];
         if (node.held)
             return;
-        if (auto* row = present()) {
-            judge(row->claim, "f", lives(row->claim));
+        if (auto* row = currentRow()) {
+            judge(row->claim, "f", isHolderAlive(row->claim));
             return;
         }
         const Claim claim { std::to_string(index), node.incarnation, 0, "f", ClaimState::Running, {} };
         table[claimRows(now, "h")[1]] = { claim, nextVersion };
-        if (!answerLost) {
+        if (!isReplyLost) {
             node.held = claim;
             node.version = nextVersion;
         }
@@ -76,10 +77,10 @@
         ++runs;
     }
 
-    void record(std::uint64_t index)
+    void recordOutcome(std::uint64_t index)
     {
         auto& node = nodes[index];
-        auto* row = present();
+        auto* row = currentRow();
         if (!node.held || !row || row->version != node.version)
             return;
         if (node.dispatched)
@@ -90,34 +91,34 @@
         node = Node { node.incarnation };
     }
 
-    void replace(std::uint64_t index) { nodes[index] = Node { nodes[index].incarnation + 1 }; }
+    void restart(std::uint64_t index) { nodes[index] = Node { nodes[index].incarnation + 1 }; }
 };
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(keyIsRunAtMostOnceWithinItsRetention)
+BOOST_AUTO_TEST_CASE(keyIsRunAtMostOnceWithinRetention)
 {
-    const bool ok = rc::check([](const std::vector<std::pair<std::uint8_t, std::uint8_t>>& steps) {
-        World world;
-        for (auto [kind, where] : steps) {
-            const auto index = where % nodeCount;
+    const bool holds = rc::check([](const std::vector<std::pair<std::uint8_t, std::uint8_t>>& steps) {
+        Simulation simulation;
+        for (auto [kind, nodeNumber] : steps) {
+            const auto index = nodeNumber % nodeCount;
             if (kind % 6 < 2)
-                world.arrive(index, kind % 6 == 1);
+                simulation.arrive(index, kind % 6 == 1);
             else if (kind % 6 == 2)
-                world.dispatch(index);
+                simulation.dispatch(index);
             else if (kind % 6 == 3)
-                world.record(index);
+                simulation.recordOutcome(index);
             else if (kind % 6 == 4)
-                world.replace(index);
-            else if (world.runs == 0)
-                world.now += 1h;
-            RC_ASSERT(world.runs <= 1);
+                simulation.restart(index);
+            else if (simulation.runs == 0)
+                simulation.now += 1h;
+            RC_ASSERT(simulation.runs <= 1);
         }
     });
-    BOOST_TEST(ok);
+    BOOST_TEST(holds);
 }
 
-BOOST_AUTO_TEST_CASE(verdictsFollowTheClaim)
+BOOST_AUTO_TEST_CASE(repeatDecisionDependsOnClaim)
 {
     Claim claim { "a", 1, 0, "f", ClaimState::Running, {} };
     BOOST_TEST((judge(claim, "f", true) == Verdict::InUse));
@@ -126,20 +127,20 @@
     claim.state = ClaimState::Unknown;
     BOOST_TEST((judge(claim, "f", true) == Verdict::OutcomeUnknown));
     claim.state = ClaimState::Done;
-    BOOST_TEST((judge(claim, "f", false) == Verdict::AnswerNotKept));
+    BOOST_TEST((judge(claim, "f", false) == Verdict::ResponseNotStored));
     claim.answer = KeptAnswer {};
     BOOST_TEST((judge(claim, "f", false) == Verdict::Replay));
 }
 
-BOOST_AUTO_TEST_CASE(claimsAreFoundForTheRetentionBetweenClocksThatDiffer)
+BOOST_AUTO_TEST_CASE(claimIsFoundDespiteClockDifferenceUpToRetention)
 {
     rc::check([] {
         const std::chrono::system_clock::time_point made { std::chrono::minutes(
             *rc::gen::inRange(10'000, 10'000'000)) };
         const auto later = made + std::chrono::minutes(*rc::gen::inRange(-720, 720));
         const auto written = claimRows(made, "h")[1];
-        const auto asked = claimRows(later, "h");
-        RC_ASSERT(std::find(asked.begin(), asked.end(), written) != asked.end());
+        const auto lookedUp = claimRows(later, "h");
+        RC_ASSERT(std::find(lookedUp.begin(), lookedUp.end(), written) != lookedUp.end());
         for (std::uint64_t slice = 0; slice < 16384; slice += 4096)
             RC_ASSERT(!written.starts_with(expiredPrefix(later, slice).substr(0, written.rfind('/') + 1)));
     });
