--- a/src/deadline.balance/deadline_admission.cpp
+++ b/src/deadline.balance/deadline_admission.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Admission `deadline`: a request waits only if the queue has room and its deadline can be met.
+/// Admission policy `deadline`: a request may wait only if the queue has room and the estimated wait leaves
+/// enough time to meet its deadline.
 #include <damaskworks/registry.h>
 #include <damaskworks/request_policy.h>
 
@@ -8,7 +9,7 @@
 
 std::optional<Reason> refuse(const QueueView& queue)
 {
-    if (queue.wait + queue.serviceBound > queue.timeLeft)
+    if (queue.estimatedWait + queue.serviceTimeBound > queue.timeLeft)
         return Reason::DeadlineNear;
     if (queue.queued >= queue.queueLimit)
         return Reason::QueueFull;
--- a/src/include/damaskworks/request.h
+++ b/src/include/damaskworks/request.h
@@ -1,6 +1,8 @@
 /// \file
-/// Decisions on the path of a request: admission, queueing, choice of an endpoint, retries and the
-/// final answer. Pure functions over plain structs; the caller carries out the actions.
+/// Request path of an entry VM: admission, queueing, load balancing, retries and the final reply.
+/// decide() takes an event, updates the State that it is given and returns actions. It does no I/O and
+/// reads no clock; the code that calls it carries out the actions. "Caller" means the client that sent
+/// a request. A TimePoint is a time of the steady clock.
 #pragma once
 
 #include <damaskworks/clock.h>
@@ -23,9 +25,9 @@
 
 using EndpointId = std::string;
 
-/// Final outcome of a request, told to the caller in the `Damask-Outcome` header.
+/// Final outcome of a request, sent to the caller in the `Damask-Outcome` header.
 enum class Outcome {
-    Done, ///< the endpoint's whole answer is passed on
+    Done, ///< the endpoint's complete response is passed on
     NotRun, ///< no endpoint ran any part of the request
     Unknown, ///< an endpoint may have run it
 };
@@ -36,21 +38,21 @@
     { Outcome::Unknown, "unknown" },
 } };
 
-/// Why a request was not done.
+/// Why a request has no Outcome::Done.
 enum class Reason {
-    None,
-    NoRoute,
-    NoEndpoint, ///< the pool has no endpoint in service
-    QueueFull,
-    DeadlineNear, ///< the queue is too long for the deadline to be met
+    None, ///< the outcome is Outcome::Done
+    NoRoute, ///< no pool has the requested name
+    NoEndpoint, ///< the pool has no endpoint that accepts requests
+    QueueFull, ///< also the reason of an eviction from the queue
+    DeadlineNear, ///< by estimate, no response can arrive before the deadline
     DeadlinePassed,
-    Stopping, ///< this entry VM is being stopped
-    EndpointFailed,
-    Truncated,
-    KeyUnverifiable, ///< an idempotency key can't be checked without the table
-    KeyInUse, ///< another request with the same key is running
-    KeyOutcomeUnknown, ///< an earlier request with the same key has an unknown outcome
-    ConfigurationStale,
+    Stopping, ///< this entry VM is stopping
+    EndpointFailed, ///< the last attempt failed and no retry was allowed
+    Truncated, ///< the endpoint's response ended early
+    KeyUnverifiable, ///< the table that holds the claims of idempotency keys is unreachable
+    KeyInUse, ///< another request with the same idempotency key is running
+    KeyOutcomeUnknown, ///< the outcome of an earlier request with the same idempotency key is unknown
+    ConfigurationStale, ///< this entry VM's configuration is too old to route requests
 };
 
 inline constexpr NameTable<Reason, 13> reasonNames { {
@@ -69,71 +71,75 @@
     { Reason::ConfigurationStale, "configuration_stale" },
 } };
 
-/// Settings of retries in one pool.
+/// Retry settings of one pool.
 struct RetrySettings {
-    std::uint32_t maxAttempts = 3;
-    double budgetShare = 0.1; ///< retries earned by each answered request
-    double budgetBurst = 10; ///< most retries that can be saved up
-    Duration baseBackoff = std::chrono::milliseconds(5); ///< doubled with each attempt
+    std::uint32_t maxAttempts = 3; ///< including the first
+    double budgetPerSuccess = 0.1; ///< retry tokens earned by each successful attempt
+    double budgetBurst = 10; ///< maximum number of saved retry tokens; a new pool starts with it
+    /// Upper bound of the first backoff. The bound doubles with each attempt, up to maxBackoff.
+    Duration baseBackoff = std::chrono::milliseconds(5);
     Duration maxBackoff = std::chrono::seconds(1);
 };
 
-/// Settings of the ejection of failing endpoints and of slow start.
+/// Settings of outlier ejection (taking failing endpoints out of rotation) and of slow start.
 struct HealthSettings {
-    std::uint32_t failuresToEject = 5; ///< consecutive; 0 switches ejection off
-    double maxEjectedShare = 0.5; ///< of the pool's accepting endpoints
-    Duration ejection = std::chrono::seconds(5); ///< doubled with each ejection in a row
-    Duration maxEjection = std::chrono::seconds(60);
-    Duration slowStart = std::chrono::seconds(10); ///< until an added endpoint gets all its slots
+    std::uint32_t failuresToEject = 5; ///< consecutive failures; 0 disables ejection
+    double maxEjectedShare = 0.5; ///< share of the pool's accepting endpoints
+    Duration baseEjectionTime = std::chrono::seconds(5); ///< doubles with each consecutive ejection
+    Duration maxEjectionTime = std::chrono::seconds(60);
+    Duration slowStart = std::chrono::seconds(10); ///< time until an added endpoint gets all its slots
 };
 
-/// Settings of one pool's request path.
+/// Request path settings of one pool.
 struct PoolSettings {
-    std::size_t queueLimit = 256; ///< requests
+    std::size_t queueLimit = 256; ///< queued requests, including those in backoff
     std::uint32_t slotsPerVm = 8; ///< requests in flight per endpoint
     Duration requestTimeout = std::chrono::seconds(10);
-    std::string balancer = "weighted"; ///< a name in Registry<Balancer>
-    std::string admission = "deadline"; ///< a name in Registry<Admission>
-    /// Until a larger share of slots is used, so that those who lose it have heard of that.
+    std::string balancer = "weighted"; ///< name in Registry<Balancer>
+    std::string admission = "deadline"; ///< name in Registry<Admission>
+    /// Delay before this entry VM uses a larger share of an endpoint's slots. The entry VMs that lose
+    /// these slots must learn of their smaller shares first.
     Duration shareGrowthDelay = std::chrono::seconds(3);
-    std::uint32_t urgentBurst = 8; ///< urgent requests served in a row while ordinary ones wait
+    std::uint32_t urgentBurst = 8; ///< urgent requests served in succession while ordinary ones wait
     RetrySettings retry;
     HealthSettings health;
 };
 
-/// What attempts have shown about one endpoint.
+/// Health of one endpoint, measured by the attempts sent to it.
 struct Health {
-    double latency = 0; ///< seconds, smoothed over answers; 0 if there was none
-    TimePoint measuredAt; ///< of latency
-    double failureRate = 0; ///< smoothed, 0 to 1
+    double latency = 0; ///< seconds, moving average over successful attempts; 0 before the first
+    TimePoint latencyMeasuredAt; ///< time of the latest latency sample
+    double failureRate = 0; ///< moving average, 0 to 1
     std::uint32_t consecutiveFailures = 0;
-    std::uint32_t ejections = 0; ///< in a row, without a success in between
-    bool ejected = false;
-    bool probing = false; ///< back from an ejection, limited to one request until one succeeds
+    std::uint32_t ejections = 0; ///< consecutive, without a success in between
+    bool isEjected = false;
+    bool isProbing = false; ///< after an ejection: limited to one request in flight until one succeeds
     TimePoint ejectedUntil;
-    TimePoint slowStartFrom; ///< TimePoint::min(): no slow start
+    TimePoint slowStartFrom; ///< start of slow start; TimePoint::min(): no slow start
 };
 
-/// One endpoint as this entry VM sees it.
+/// This entry VM's view of one endpoint.
 struct Endpoint {
     EndpointId id;
-    std::uint32_t slots = 8; ///< as declared; in Pool, this entry VM's share of them
+    /// In PoolChanged, the declared slots; in Pool, this entry VM's share of them.
+    std::uint32_t slots = 8;
     std::uint32_t inFlight = 0;
-    bool accepting = true; ///< false while leaving or draining
-    Duration extraLatency {}; ///< round trip beyond the own data centre's; 0 for a local endpoint
+    bool accepting = true; ///< false while the endpoint leaves the pool or drains
+    Duration extraLatency {}; ///< extra round-trip time to another data centre; 0 within this data centre
     Health health {};
-    std::uint32_t declaredSlots = 0; ///< shared by all entry VMs
-    std::uint32_t nextSlots = 0; ///< larger share that is waited for
-    TimePoint growAt = TimePoint::max(); ///< when nextSlots comes into force
-    bool removed = false; ///< no longer in the pool, but with requests in flight
-    std::optional<std::size_t> position {}; ///< in its list of available endpoints
+    std::uint32_t declaredSlots = 0; ///< shared by all entry VMs; set by decide()
+    std::uint32_t pendingSlots = 0; ///< larger share that comes into force at pendingSlotsAt
+    TimePoint pendingSlotsAt = TimePoint::max(); ///< TimePoint::max(): the share does not grow
+    bool isRemoved = false; ///< no longer in the pool, but still has requests in flight
+    /// Index in the pool's list of endpoints with a free slot; std::nullopt if not in it.
+    std::optional<std::size_t> availableIndex {};
 };
 
-/// Where a request is.
+/// Stage of a request without a final reply.
 enum class Stage { Queued, BackingOff, InFlight };
 
-/// A request that has no final answer yet.
-struct Pending {
+/// A request without a final reply.
+struct PendingRequest {
     RequestId id = 0;
     std::string pool;
     std::string callerId;
@@ -142,32 +148,33 @@
     bool idempotent = false;
     bool urgent = false;
     Stage stage = Stage::Queued;
-    EndpointId endpoint; ///< of the last attempt; empty before the first
-    std::uint32_t attempts = 0;
+    EndpointId endpoint; ///< endpoint of the last attempt; empty before the first
+    std::uint32_t attempts = 0; ///< started so far
     TimePoint attemptStarted;
-    TimePoint wakeAt = TimePoint::max(); ///< end of the back-off, or last useful start of a queued one
+    /// When the request's timer fires: at the end of the backoff or, if queued, at its latest useful start.
+    TimePoint wakeAt = TimePoint::max();
     bool mayHaveRun = false; ///< an attempt failed after the endpoint may have started it
 };
 
-/// Counts of decisions in one pool, for metrics.
+/// Decision counters of one pool, for metrics.
 struct Counters {
     std::uint64_t retries = 0;
-    std::uint64_t retriesDenied = 0; ///< by the retry budget
+    std::uint64_t retriesDenied = 0; ///< retries that the retry budget did not allow
     std::uint64_t ejections = 0;
-    std::uint64_t evictions = 0; ///< queued requests that gave way to another caller's
-    std::uint64_t spills = 0; ///< attempts sent to another data centre
+    std::uint64_t evictions = 0; ///< queued requests dropped from a full queue in favour of another request
+    std::uint64_t spills = 0; ///< spillovers: attempts sent to another data centre
 };
 
-/// A rate of events that fades with time.
-struct Rate {
-    double perSecond = 0; ///< at the time of the last event
-    TimePoint last;
+/// Event rate with exponential decay.
+struct DecayingRate {
+    double perSecond = 0; ///< rate at lastEvent
+    TimePoint lastEvent;
 };
 
 struct Balancer;
 struct Admission;
 
-/// State of one pool. Endpoints are referred to by address, so a pool is not copied.
+/// State of one pool. Not copyable, because the lists of endpoints with a free slot hold pointers.
 struct Pool {
     Pool() = default;
     Pool(Pool&&) = default;
@@ -179,62 +186,62 @@
     const Balancer* balancer = nullptr;
     const Admission* admission = nullptr;
     std::map<EndpointId, Endpoint> endpoints;
-    std::string self; ///< this entry VM
-    std::vector<EntryVmWeight> entryVms; ///< that share the slots, by id; empty: this one alone
-    bool sharesGrow = false; ///< an endpoint waits for a larger share
-    std::vector<Endpoint*> local; ///< with a free slot, in the own data centre
-    std::vector<Endpoint*> remote; ///< with a free slot, in other data centres
-    std::set<std::pair<TimePoint, EndpointId>> ejectedUntil;
-    std::size_t accepting = 0; ///< endpoints
-    std::size_t usable = 0; ///< accepting endpoints that are not ejected
-    std::uint32_t usableSlots = 0;
-    std::uint32_t localSlots = 0; ///< usable slots in the own data centre
-    std::size_t cursor = 0; ///< for balancers that take turns
+    std::string self; ///< id of this entry VM
+    std::vector<EntryVmWeight> entryVms; ///< sharing the slots, sorted by id; empty: this one has all
+    bool hasPendingSlots = false; ///< whether any endpoint has a pending larger share
+    std::vector<Endpoint*> local; ///< endpoints with a free slot in this data centre
+    std::vector<Endpoint*> availableRemote; ///< endpoints with a free slot in other data centres
+    std::set<std::pair<TimePoint, EndpointId>> ejectedUntil; ///< ends of the ejections
+    std::size_t acceptingCount = 0; ///< endpoints that accept requests and have slots
+    std::size_t usable = 0; ///< of those, the endpoints that are not ejected
+    std::uint32_t usableSlots = 0; ///< slots of accepting endpoints that are not ejected
+    std::uint32_t localSlots = 0; ///< part of usableSlots in this data centre
+    std::size_t cursor = 0; ///< position of round-robin balancers
 
     FairQueue urgent;
     FairQueue ordinary;
-    std::uint32_t urgentInRow = 0; ///< served since the last ordinary one
-    std::size_t backingOff = 0; ///< requests
-
-    double holdTime = 0; ///< seconds that an attempt holds its slot, smoothed; 0: not measured
-    double serviceTime = 0; ///< seconds until an answer, smoothed; 0: not measured
-    double serviceDeviation = 0; ///< seconds, smoothed mean deviation of serviceTime
-    double failureRate = 0; ///< smoothed, 0 to 1
-    double retryTokens = 0;
-    Rate arrivals;
+    std::uint32_t consecutiveUrgent = 0; ///< urgent requests served since the last ordinary one
+    std::size_t backingOffCount = 0; ///< requests in Stage::BackingOff
+
+    double slotHoldTime = 0; ///< seconds that an attempt holds its slot, moving average; 0 before the first
+    double serviceTime = 0; ///< seconds until a successful response, moving average; 0 before the first
+    double serviceTimeDeviation = 0; ///< seconds, moving average of the deviation from serviceTime
+    double failureRate = 0; ///< moving average over all endpoints, 0 to 1
+    double retryTokens = 0; ///< retries that the retry budget allows now
+    DecayingRate arrivals;
     Counters counters;
 };
 
 /// State of the request path of one entry VM.
 struct State {
     std::map<std::string, Pool, std::less<>> pools;
-    std::unordered_map<RequestId, Pending> requests;
-    std::set<std::pair<TimePoint, RequestId>> timers; ///< wakeAt of requests not in flight
+    std::unordered_map<RequestId, PendingRequest> requests;
+    std::set<std::pair<TimePoint, RequestId>> timers; ///< wakeAt of the requests not in flight
     bool stopping = false;
     std::mt19937_64 random { 1 };
 };
 
-/// A caller's request has arrived whole.
+/// A caller's request has arrived completely.
 struct Arrived {
-    RequestId id = 0; ///< ids grow with each arrival
+    RequestId id = 0; ///< higher than the id of any earlier arrival
     std::string pool;
-    TimePoint deadline; ///< the caller's own; TimePoint {} for the pool's
+    TimePoint deadline; ///< TimePoint {}: set by the pool's requestTimeout
     bool idempotent = false;
     bool urgent = false;
-    std::string callerId; ///< callers of a pool are served in turn
+    std::string callerId; ///< the callers of a pool are served in turn (round robin)
 };
 
 /// An attempt has ended.
 struct AttemptEnded {
     RequestId id = 0;
     enum class Result {
-        Answered, ///< a whole answer
-        NotStarted, ///< no byte left, or the endpoint said that it did not start
+        Answered, ///< the endpoint sent a complete response
+        NotStarted, ///< nothing was sent, or the endpoint reported that it did not start the request
         Failed, ///< the endpoint may have run it
     } result
         = Result::Answered;
-    std::uint32_t attempt = 0; ///< as in Dispatch; another attempt's end is ignored
-    bool serverError = false; ///< the answer has a 5xx status; for the endpoint's health only
+    std::uint32_t attempt = 0; ///< as in Dispatch; the event is ignored unless this attempt is in flight
+    bool serverError = false; ///< the response has a 5xx status; affects health and retry budget only
 };
 
 /// The caller has closed its connection.
@@ -249,59 +256,59 @@
     std::vector<Endpoint> endpoints; ///< inFlight is ignored
 };
 
-/// The live entry VMs or their demand on the pool have changed.
+/// The set of live entry VMs, or their demand on the pool, has changed.
 struct EntryVmsChanged {
     std::string pool;
-    std::string self; ///< this entry VM
-    std::vector<EntryVmDemand> live; ///< by id, this entry VM included
+    std::string self; ///< id of this entry VM
+    std::vector<EntryVmDemand> live; ///< sorted by id, including this entry VM
 };
 
-/// Time has passed.
+/// The timer for nextTimerAt() has fired.
 struct Tick { };
 
-/// A planned stop has begun.
+/// A planned stop of this entry VM has begun.
 struct StopRequested { };
 
 using Event
     = std::variant<Arrived, AttemptEnded, CallerGone, PoolChanged, EntryVmsChanged, Tick, StopRequested>;
 
-/// Send the request to the endpoint. AttemptEnded must follow within the timeout.
+/// Send the request to the endpoint. An AttemptEnded event must follow within the timeout.
 struct Dispatch {
     RequestId id = 0;
     EndpointId endpoint;
     Duration timeout {};
-    std::uint32_t attempt = 0; ///< 1 for the first
+    std::uint32_t attempt = 0; ///< counted from 1
 };
 
-/// Pass on the endpoint's answer (Outcome::Done) or answer that the request failed.
+/// Pass on the endpoint's response (Outcome::Done) or reply that the request failed.
 struct Reply {
     RequestId id = 0;
     Outcome outcome = Outcome::Done;
     Reason reason = Reason::None;
-    std::chrono::seconds retryAfter { 0 }; ///< 0: none
+    std::chrono::seconds retryAfter { 0 }; ///< 0: send no Retry-After header
 };
 
-/// Stop waiting for the attempt in flight.
+/// Cancel the attempt in flight: its caller has disconnected.
 struct Abandon {
     RequestId id = 0;
 };
 
 using Action = std::variant<Dispatch, Reply, Abandon>;
 
-/// Takes one event and returns what to do.
+/// Applies one event to \p state, then handles the timers that are due. Returns the actions to carry out.
 std::vector<Action> decide(State& state, const Event& event, TimePoint now);
 
-/// Demand on a pool as seen by this entry VM.
+/// Load of one pool on this entry VM.
 struct Load {
-    double arrivals = 0; ///< requests a second, smoothed
+    double arrivals = 0; ///< requests per second, with exponential decay
     std::uint32_t inFlight = 0;
-    std::uint32_t queued = 0;
+    std::uint32_t queued = 0; ///< including requests in backoff
 };
 
-/// Present demand on the pool, refused requests included.
+/// Current load of the pool. The arrival rate includes refused requests.
 Load loadOf(const Pool& pool, TimePoint now);
 
-/// The earliest time at which a Tick has something to do; TimePoint::max() if none.
+/// Time at which the next Tick is due; TimePoint::max() if there is none.
 TimePoint nextDeadline(const State& state);
 
 } // namespace damask::request
--- a/src/include/damaskworks/request_policy.h
+++ b/src/include/damaskworks/request_policy.h
@@ -1,6 +1,7 @@
 /// \file
-/// Policies of the request path, found by name in Registry<Balancer> and Registry<Admission>.
-/// A policy is a pure function; what it may remember is in the structs that it is given.
+/// Balancer and admission policies of the request path, registered by name in Registry<Balancer> and
+/// Registry<Admission>. A policy keeps no state of its own: what it keeps between calls is in the
+/// structs that it gets.
 #pragma once
 
 #include <damaskworks/request.h>
@@ -12,36 +13,37 @@
 
 namespace damask::request {
 
-/// What a balancer may look at.
+/// Input of a balancer.
 struct Candidates {
-    const std::vector<Endpoint*>& endpoints; ///< each has a free slot; never empty
-    std::size_t& cursor; ///< kept for the pool between calls
-    double typicalLatency = 0; ///< seconds, of the whole pool; 0 if not measured
-    Duration slowStart {};
+    const std::vector<Endpoint*>& endpoints; ///< endpoints with a free slot; never empty
+    std::size_t& cursor; ///< state of the pool for round-robin balancers
+    double poolLatency = 0; ///< seconds, average over the whole pool; 0 if not measured
+    Duration slowStart {}; ///< length of slow start
     TimePoint now;
     std::mt19937_64& random;
 };
 
-/// Chooses the endpoint of an attempt.
+/// Load-balancing policy: chooses the endpoint of an attempt.
 struct Balancer {
     Endpoint& (*choose)(const Candidates&) = nullptr;
 };
 
-/// What an admission policy may look at for one arrived request that can't be dispatched at once.
+/// Input of an admission policy for a new request that can't be dispatched at once.
 struct QueueView {
-    std::size_t queued = 0; ///< requests in the pool's queue or backing off
+    std::size_t queued = 0; ///< requests of the pool that are queued or in backoff
     std::size_t queueLimit = 0;
-    double wait = 0; ///< seconds, estimated
-    double serviceBound = 0; ///< seconds that nearly all answers take at most; 0 if not measured
+    double estimatedWait = 0; ///< seconds until a slot is free for the request
+    double serviceTimeBound = 0; ///< seconds within which nearly all responses arrive; 0 if not measured
     double timeLeft = 0; ///< seconds until the deadline
 };
 
-/// Decides whether a request may wait.
+/// Admission policy: decides whether a request may wait in the queue.
 struct Admission {
-    /// Why the request is refused, or nothing if it may wait.
+    /// Returns the reason to refuse the request, or std::nullopt if it may wait.
     std::optional<Reason> (*refuse)(const QueueView&) = nullptr;
-    /// Whether a queued request is given up on when its deadline can no longer be met.
-    bool givesUpEarly = true;
+    /// Whether a queued request is failed as soon as its deadline can no longer be met, rather than at
+    /// the deadline.
+    bool expiresEarly = true;
 };
 
 } // namespace damask::request
--- a/src/include/damaskworks/request_slots.h
+++ b/src/include/damaskworks/request_slots.h
@@ -1,6 +1,6 @@
 /// \file
-/// Division of an endpoint's slots among the entry VMs without a central counter: each entry VM
-/// computes its own share from the list of live entry VMs and their demand.
+/// Division of an endpoint's slots (its limit of concurrent requests) among the entry VMs. There is no
+/// central counter: each entry VM computes its own share from the live entry VMs and their demand.
 #pragma once
 
 #include <cstdint>
@@ -10,31 +10,33 @@
 
 namespace damask::request {
 
-/// An entry VM and the demand that it sees for one pool.
+/// An entry VM and its demand on one pool.
 struct EntryVmDemand {
     std::string id;
-    double demand = 0; ///< requests a second
+    double demand = 0; ///< requests per second
 };
 
-/// An entry VM and its part of the slots, relative to the others'.
+/// An entry VM and its weight in the division of the slots.
 struct EntryVmWeight {
     std::string id;
     double weight = 1;
     bool operator==(const EntryVmWeight&) const = default;
 };
 
-/// Weights by demand, rounded to powers of two of the mean so that noise does not move slots, and at
-/// least an eighth of the mean, so that an idle entry VM can serve a first request.
+/// Weights in proportion to demand. Each weight is the demand relative to the mean, rounded to a power
+/// of two so that noise does not move slots, and at least 1/8, so that an idle entry VM can serve a
+/// first request.
 std::vector<EntryVmWeight> slotWeights(const std::vector<EntryVmDemand>& live);
 
-/// The slots of \p endpoint that entry VM \p self may use; 0 if it is not among the live ones.
-/// \p live must be sorted by id. Entry VMs with the same view of \p live get shares that add up to
-/// \p slots; over many endpoints each gets its part by weight.
+/// Number of the \p slots of \p endpoint that entry VM \p self may use; 0 if it is not in \p live.
+/// \p live must be sorted by id. The shares of entry VMs that use the same \p live add up to \p slots.
+/// Over many endpoints, the share of each entry VM is proportional to its weight.
 /// Systematic sampling (W. G. Madow and L. H. Madow, 1944) with an offset hashed from the endpoint.
 std::uint32_t slotShare(std::uint32_t slots, std::string_view endpoint, std::string_view self,
     const std::vector<EntryVmWeight>& live);
 
-/// Preference of entry VM \p self for \p endpoint; the highest wins (rendezvous hashing).
+/// Score of \p endpoint for entry VM \p self; the endpoint with the highest score is preferred
+/// (rendezvous hashing).
 std::uint64_t affinity(std::string_view endpoint, std::string_view self);
 
 } // namespace damask::request
--- a/src/least_outstanding.balance/least_outstanding_balance.cpp
+++ b/src/least_outstanding.balance/least_outstanding_balance.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Balancer `least_outstanding`: the endpoint with the fewest requests in flight, found by a scan.
+/// Balancer `least_outstanding`: chooses the endpoint with the fewest requests in flight, by a linear scan.
 /// A baseline for comparisons.
 #include <damaskworks/registry.h>
 #include <damaskworks/request_policy.h>
--- a/src/libkernel/request.cpp
+++ b/src/libkernel/request.cpp
@@ -8,199 +8,202 @@
 namespace damask::request {
 namespace {
 
-/// One call of decide().
-struct Call {
+/// Arguments and result of one call to decide().
+struct Context {
     State& state;
     TimePoint now;
     std::vector<Action>& actions;
 };
 
-FairQueue& queueOf(Pool& pool, const Pending& pending)
+FairQueue& queueOf(Pool& pool, const PendingRequest& pending)
 {
     return pending.urgent ? pool.urgent : pool.ordinary;
 }
 
-std::size_t queued(const Pool& pool) { return pool.urgent.size + pool.ordinary.size; }
+std::size_t queuedCount(const Pool& pool) { return pool.urgent.size + pool.ordinary.size; }
 
-void setTimer(Call& call, Pending& pending, TimePoint at)
+void setTimer(Context& context, PendingRequest& pending, TimePoint at)
 {
     if (pending.wakeAt != TimePoint::max())
-        call.state.timers.erase({ pending.wakeAt, pending.id });
+        context.state.timers.erase({ pending.wakeAt, pending.id });
     pending.wakeAt = at;
     if (at != TimePoint::max())
-        call.state.timers.emplace(at, pending.id);
+        context.state.timers.emplace(at, pending.id);
 }
 
-/// Takes the request out of where it waits.
-void stopWaiting(Call& call, Pool& pool, Pending& pending)
+/// Removes the request from its queue or its backoff and cancels its timer.
+void stopWaiting(Context& context, Pool& pool, PendingRequest& pending)
 {
-    setTimer(call, pending, TimePoint::max());
+    setTimer(context, pending, TimePoint::max());
     if (pending.stage == Stage::Queued)
         erase(queueOf(pool, pending), pending.callerId, pending.id);
     else if (pending.stage == Stage::BackingOff)
-        --pool.backingOff;
+        --pool.backingOffCount;
 }
 
-Outcome outcomeOf(const Pending& pending, Reason reason)
+Outcome outcomeOf(const PendingRequest& pending, Reason reason)
 {
     if (reason == Reason::None)
         return Outcome::Done;
     return pending.mayHaveRun ? Outcome::Unknown : Outcome::NotRun;
 }
 
-/// Gives the final answer to a request that does not wait any more.
-void reply(Call& call, Pool& pool, Pending& pending, Reason reason)
+/// Sends the final reply to a request that is neither queued nor in backoff, and forgets the request.
+void reply(Context& context, Pool& pool, PendingRequest& pending, Reason reason)
 {
     const auto outcome = outcomeOf(pending, reason);
-    const auto after = outcome == Outcome::NotRun ? retryAfter(pool, reason) : std::chrono::seconds(0);
-    call.actions.push_back(Reply { pending.id, outcome, reason, after });
-    call.state.requests.erase(pending.id);
+    const auto delay = outcome == Outcome::NotRun ? retryAfter(pool, reason) : std::chrono::seconds(0);
+    context.actions.push_back(Reply { pending.id, outcome, reason, delay });
+    context.state.requests.erase(pending.id);
 }
 
-/// Gives up on a request that waits.
-void giveUp(Call& call, Pool& pool, Pending& pending, Reason reason)
+/// Ends a queued or backing-off request without another attempt.
+void failWaiting(Context& context, Pool& pool, PendingRequest& pending, Reason reason)
 {
-    stopWaiting(call, pool, pending);
-    reply(call, pool, pending, reason);
+    stopWaiting(context, pool, pending);
+    reply(context, pool, pending, reason);
 }
 
-Reason deadlineReason(const Call& call, const Pending& pending)
+Reason deadlineReason(const Context& context, const PendingRequest& pending)
 {
-    return pending.deadline <= call.now ? Reason::DeadlinePassed : Reason::DeadlineNear;
+    return pending.deadline <= context.now ? Reason::DeadlinePassed : Reason::DeadlineNear;
 }
 
-/// Latest useful start of the request.
-TimePoint latestStart(const Pool& pool, const Pending& pending)
+/// Latest time at which an attempt is still expected to meet the deadline; the deadline itself if the
+/// admission policy does not expire requests early.
+TimePoint latestStart(const Pool& pool, const PendingRequest& pending)
 {
-    if (!pool.admission || !pool.admission->givesUpEarly)
+    if (!pool.admission || !pool.admission->expiresEarly)
         return pending.deadline;
-    const std::chrono::duration<double> bound(serviceBound(pool));
+    const std::chrono::duration<double> bound(serviceTimeBound(pool));
     return pending.deadline - std::chrono::duration_cast<Duration>(bound);
 }
 
-void enqueue(Call& call, Pool& pool, Pending& pending)
+void enqueue(Context& context, Pool& pool, PendingRequest& pending)
 {
     pending.stage = Stage::Queued;
     push(queueOf(pool, pending), pending.callerId, pending.id);
-    setTimer(call, pending, latestStart(pool, pending));
+    setTimer(context, pending, latestStart(pool, pending));
 }
 
-void dispatch(Call& call, Pool& pool, Pending& pending, Endpoint& endpoint)
+void dispatch(Context& context, Pool& pool, PendingRequest& pending, Endpoint& endpoint)
 {
-    takeSlot(pool, endpoint, call.now);
+    takeSlot(pool, endpoint, context.now);
     pending.stage = Stage::InFlight;
     pending.endpoint = endpoint.id;
-    pending.attemptStarted = call.now;
+    pending.attemptStarted = context.now;
     ++pending.attempts;
-    call.actions.push_back(
-        Dispatch { pending.id, endpoint.id, pending.deadline - call.now, pending.attempts });
+    context.actions.push_back(
+        Dispatch { pending.id, endpoint.id, pending.deadline - context.now, pending.attempts });
 }
 
-/// Takes the next request from the queues: urgent ones first, but an ordinary one after each burst.
-Pending& popNext(Call& call, Pool& pool)
+/// Takes the next request from the queues: urgent ones first, but an ordinary one after each urgentBurst
+/// of them, so that ordinary requests do not starve.
+PendingRequest& popNext(Context& context, Pool& pool)
 {
-    const bool ordinaryDue = pool.ordinary.size > 0 && pool.urgentInRow >= pool.settings.urgentBurst;
+    const bool ordinaryDue = pool.ordinary.size > 0 && pool.consecutiveUrgent >= pool.settings.urgentBurst;
     const bool urgent = pool.urgent.size > 0 && !ordinaryDue;
-    pool.urgentInRow = urgent ? pool.urgentInRow + 1 : 0;
-    auto& pending = call.state.requests.at(pop(urgent ? pool.urgent : pool.ordinary));
-    setTimer(call, pending, TimePoint::max());
+    pool.consecutiveUrgent = urgent ? pool.consecutiveUrgent + 1 : 0;
+    auto& pending = context.state.requests.at(pop(urgent ? pool.urgent : pool.ordinary));
+    setTimer(context, pending, TimePoint::max());
     pending.stage = Stage::InFlight;
     return pending;
 }
 
-void drainQueue(Call& call, Pool& pool)
+void dispatchQueued(Context& context, Pool& pool)
 {
-    while (queued(pool) > 0) {
-        auto* endpoint = chooseEndpoint(pool, {}, queued(pool), call.state.random, call.now);
+    while (queuedCount(pool) > 0) {
+        auto* endpoint = chooseEndpoint(pool, {}, queuedCount(pool), context.state.random, context.now);
         if (!endpoint)
             return;
-        auto& pending = popNext(call, pool);
-        if (latestStart(pool, pending) <= call.now) {
-            reply(call, pool, pending, deadlineReason(call, pending));
+        auto& pending = popNext(context, pool);
+        if (latestStart(pool, pending) <= context.now) {
+            reply(context, pool, pending, deadlineReason(context, pending));
             continue;
         }
         auto* other = pending.endpoint == endpoint->id
-            ? chooseEndpoint(pool, pending.endpoint, queued(pool) + 1, call.state.random, call.now)
+            ? chooseEndpoint(pool, pending.endpoint, queuedCount(pool) + 1, context.state.random, context.now)
             : nullptr;
-        dispatch(call, pool, pending, other ? *other : *endpoint);
+        dispatch(context, pool, pending, other ? *other : *endpoint);
     }
 }
 
-/// Why the request may not wait, if so.
-std::optional<Reason> refusal(const Call& call, const Pool& pool, const Pending& pending)
+/// The reason why the request may not wait, or std::nullopt if it may.
+std::optional<Reason> refusalReason(const Context& context, const Pool& pool, const PendingRequest& pending)
 {
     QueueView view;
-    view.queued = waiting(pool);
+    view.queued = waitingCount(pool);
     view.queueLimit = pool.settings.queueLimit;
-    view.wait = estimatedWait(pool, pending.urgent, pending.callerId);
-    view.serviceBound = serviceBound(pool);
-    view.timeLeft = inSeconds(pending.deadline - call.now);
+    view.estimatedWait = estimatedWait(pool, pending.urgent, pending.callerId);
+    view.serviceTimeBound = serviceTimeBound(pool);
+    view.timeLeft = inSeconds(pending.deadline - context.now);
     if (pool.admission)
         return pool.admission->refuse(view);
     return view.queued >= view.queueLimit ? std::optional(Reason::QueueFull) : std::nullopt;
 }
 
-/// Makes room in a full queue: an urgent request takes an ordinary one's place, and a caller with few
-/// requests one of the caller with the most (longest queue drop, B. Suter et al., 1998).
-bool makeRoom(Call& call, Pool& pool, const Pending& pending)
+/// Evicts a request from a full queue in favour of \p pending. An urgent request replaces an ordinary one;
+/// otherwise the caller with the most requests loses its newest one, if it has more requests than the
+/// caller of \p pending would have (longest queue drop, B. Suter et al., 1998).
+bool evictFor(Context& context, Pool& pool, const PendingRequest& pending)
 {
-    const auto own = lengthOf(queueOf(pool, pending), pending.callerId);
-    auto victim = newestOfLongest(pool.ordinary, pending.urgent ? 0 : own + 1);
+    const auto ownLength = lengthOf(queueOf(pool, pending), pending.callerId);
+    auto victim = newestOfLongestQueue(pool.ordinary, pending.urgent ? 0 : ownLength + 1);
     if (!victim && pending.urgent)
-        victim = newestOfLongest(pool.urgent, own + 1);
+        victim = newestOfLongestQueue(pool.urgent, ownLength + 1);
     if (!victim)
         return false;
     ++pool.counters.evictions;
-    giveUp(call, pool, call.state.requests.at(*victim), Reason::QueueFull);
+    failWaiting(context, pool, context.state.requests.at(*victim), Reason::QueueFull);
     return true;
 }
 
-void admit(Call& call, Pool& pool, Pending& pending)
+void admit(Context& context, Pool& pool, PendingRequest& pending)
 {
-    if (queued(pool) == 0) {
-        if (auto* endpoint = chooseEndpoint(pool, {}, 1, call.state.random, call.now))
-            return dispatch(call, pool, pending, *endpoint);
+    if (queuedCount(pool) == 0) {
+        if (auto* endpoint = chooseEndpoint(pool, {}, 1, context.state.random, context.now))
+            return dispatch(context, pool, pending, *endpoint);
     }
-    const auto reason = refusal(call, pool, pending);
-    if (reason && !(*reason == Reason::QueueFull && makeRoom(call, pool, pending)))
-        return reply(call, pool, pending, *reason);
-    enqueue(call, pool, pending);
-    drainQueue(call, pool);
+    const auto reason = refusalReason(context, pool, pending);
+    if (reason && !(*reason == Reason::QueueFull && evictFor(context, pool, pending)))
+        return reply(context, pool, pending, *reason);
+    enqueue(context, pool, pending);
+    dispatchQueued(context, pool);
 }
 
-void refuseUnknownPool(Call& call, RequestId id)
+void refuseUnknownPool(Context& context, RequestId id)
 {
-    call.actions.push_back(Reply { id, Outcome::NotRun, Reason::NoRoute, std::chrono::seconds(1) });
+    context.actions.push_back(Reply { id, Outcome::NotRun, Reason::NoRoute, std::chrono::seconds(1) });
 }
 
-void on(Call& call, const Arrived& event)
+void handle(Context& context, const Arrived& event)
 {
-    if (call.state.requests.contains(event.id))
+    if (context.state.requests.contains(event.id))
         return;
-    auto found = call.state.pools.find(event.pool);
-    if (found == call.state.pools.end())
-        return refuseUnknownPool(call, event.id);
+    auto found = context.state.pools.find(event.pool);
+    if (found == context.state.pools.end())
+        return refuseUnknownPool(context, event.id);
     auto& pool = found->second;
-    count(pool.arrivals, call.now);
-    auto& pending = call.state.requests[event.id];
+    recordEvent(pool.arrivals, context.now);
+    auto& pending = context.state.requests[event.id];
     pending.id = event.id;
     pending.pool = event.pool;
     pending.callerId = event.callerId;
-    pending.arrived = call.now;
+    pending.arrived = context.now;
     pending.deadline
-        = event.deadline == TimePoint {} ? call.now + pool.settings.requestTimeout : event.deadline;
+        = event.deadline == TimePoint {} ? context.now + pool.settings.requestTimeout : event.deadline;
     pending.idempotent = event.idempotent;
     pending.urgent = event.urgent;
-    if (call.state.stopping)
-        return reply(call, pool, pending, Reason::Stopping);
-    if (pool.accepting == 0)
-        return reply(call, pool, pending, Reason::NoEndpoint);
-    if (pending.deadline <= call.now)
-        return reply(call, pool, pending, Reason::DeadlinePassed);
-    admit(call, pool, pending);
+    if (context.state.stopping)
+        return reply(context, pool, pending, Reason::Stopping);
+    if (pool.acceptingCount == 0)
+        return reply(context, pool, pending, Reason::NoEndpoint);
+    if (pending.deadline <= context.now)
+        return reply(context, pool, pending, Reason::DeadlinePassed);
+    admit(context, pool, pending);
 }
 
-/// Random delay below an exponentially growing bound ("full jitter").
+/// Exponential backoff with full jitter: a random delay up to a bound that doubles with each attempt.
 Duration backoff(const RetrySettings& settings, std::uint32_t attempts, std::mt19937_64& random)
 {
     constexpr std::uint32_t maxDoublings = 16;
@@ -209,15 +212,15 @@
     return Duration(std::uniform_int_distribution<Duration::rep>(0, bound.count())(random));
 }
 
-/// Starts the back-off before another attempt, if the request may have one.
-bool retry(Call& call, Pool& pool, Pending& pending)
+/// Starts the backoff before another attempt. Returns false if the request may not be retried.
+bool scheduleRetry(Context& context, Pool& pool, PendingRequest& pending)
 {
     const auto& settings = pool.settings.retry;
     if ((pending.mayHaveRun && !pending.idempotent) || pending.attempts >= settings.maxAttempts)
         return false;
-    if (call.state.stopping || pool.accepting == 0 || waiting(pool) >= pool.settings.queueLimit)
+    if (context.state.stopping || pool.acceptingCount == 0 || waitingCount(pool) >= pool.settings.queueLimit)
         return false;
-    const auto at = call.now + backoff(settings, pending.attempts, call.state.random);
+    const auto at = context.now + backoff(settings, pending.attempts, context.state.random);
     if (at >= latestStart(pool, pending))
         return false;
     if (pool.retryTokens < 1) {
@@ -226,71 +229,72 @@
     }
     pool.retryTokens -= 1;
     ++pool.counters.retries;
-    ++pool.backingOff;
+    ++pool.backingOffCount;
     pending.stage = Stage::BackingOff;
-    setTimer(call, pending, at);
+    setTimer(context, pending, at);
     return true;
 }
 
-/// Whether the attempt failed only because the caller's deadline left it too little time.
-bool cutShort(const Pool& pool, const Pending& pending, const AttemptEnded& event, TimePoint now)
+/// Whether the attempt failed only because the caller's deadline came before a response was due.
+bool isCutShortByDeadline(
+    const Pool& pool, const PendingRequest& pending, const AttemptEnded& event, TimePoint now)
 {
     return event.result == AttemptEnded::Result::Failed && now >= pending.deadline
-        && inSeconds(now - pending.attemptStarted) < serviceBound(pool);
+        && inSeconds(now - pending.attemptStarted) < serviceTimeBound(pool);
 }
 
-void recordEnd(Pool& pool, const Pending& pending, const AttemptEnded& event, TimePoint now)
+void recordAttemptEnd(Pool& pool, const PendingRequest& pending, const AttemptEnded& event, TimePoint now)
 {
     AttemptRecord record;
     record.seconds = inSeconds(now - pending.attemptStarted);
-    record.answered = event.result == AttemptEnded::Result::Answered && !event.serverError;
-    record.blamesEndpoint = !record.answered && !cutShort(pool, pending, event, now);
+    record.isSuccess = event.result == AttemptEnded::Result::Answered && !event.serverError;
+    record.isEndpointFault = !record.isSuccess && !isCutShortByDeadline(pool, pending, event, now);
     recordAttempt(pool, pending.endpoint, record, now);
-    if (!record.answered)
+    if (!record.isSuccess)
         return;
     const auto& settings = pool.settings.retry;
-    pool.retryTokens = std::min(pool.retryTokens + settings.budgetShare, settings.budgetBurst);
+    pool.retryTokens = std::min(pool.retryTokens + settings.budgetPerSuccess, settings.budgetBurst);
 }
 
-void on(Call& call, const AttemptEnded& event)
+void handle(Context& context, const AttemptEnded& event)
 {
-    auto found = call.state.requests.find(event.id);
-    if (found == call.state.requests.end())
+    auto found = context.state.requests.find(event.id);
+    if (found == context.state.requests.end())
         return;
     auto& pending = found->second;
     if (pending.stage != Stage::InFlight || pending.attempts != event.attempt)
         return;
-    auto& pool = call.state.pools.at(pending.pool);
-    recordEnd(pool, pending, event, call.now);
-    releaseSlot(pool, pending.endpoint, call.now);
+    auto& pool = context.state.pools.at(pending.pool);
+    recordAttemptEnd(pool, pending, event, context.now);
+    releaseSlot(pool, pending.endpoint, context.now);
     if (event.result == AttemptEnded::Result::Failed)
         pending.mayHaveRun = true;
     if (event.result == AttemptEnded::Result::Answered)
-        reply(call, pool, pending, Reason::None);
-    else if (!retry(call, pool, pending))
-        reply(call, pool, pending,
-            pending.deadline <= call.now ? Reason::DeadlinePassed : Reason::EndpointFailed);
-    drainQueue(call, pool);
+        reply(context, pool, pending, Reason::None);
+    else if (!scheduleRetry(context, pool, pending))
+        reply(context, pool, pending,
+            pending.deadline <= context.now ? Reason::DeadlinePassed : Reason::EndpointFailed);
+    dispatchQueued(context, pool);
 }
 
-void on(Call& call, const CallerGone& event)
+void handle(Context& context, const CallerGone& event)
 {
-    auto found = call.state.requests.find(event.id);
-    if (found == call.state.requests.end())
+    auto found = context.state.requests.find(event.id);
+    if (found == context.state.requests.end())
         return;
     auto& pending = found->second;
-    auto& pool = call.state.pools.at(pending.pool);
+    auto& pool = context.state.pools.at(pending.pool);
     if (pending.stage == Stage::InFlight) {
-        call.actions.push_back(Abandon { event.id });
-        releaseSlot(pool, pending.endpoint, call.now);
+        context.actions.push_back(Abandon { event.id });
+        releaseSlot(pool, pending.endpoint, context.now);
     } else {
-        stopWaiting(call, pool, pending);
+        stopWaiting(context, pool, pending);
     }
-    call.state.requests.erase(found);
-    drainQueue(call, pool);
+    context.state.requests.erase(found);
+    dispatchQueued(context, pool);
 }
 
-/// Ids of the requests that wait, of one pool or, if \p pool is empty, of all.
+/// Ids of the queued and backing-off requests of \p pool, or of all pools if \p pool is empty.
 std::vector<RequestId> waitingIds(const State& state, std::string_view pool)
 {
     std::vector<RequestId> ids;
@@ -301,55 +305,55 @@
     return ids;
 }
 
-void giveUpAll(Call& call, std::string_view poolName, Reason reason)
+void failAllWaiting(Context& context, std::string_view poolName, Reason reason)
 {
-    for (auto id : waitingIds(call.state, poolName)) {
-        auto& pending = call.state.requests.at(id);
-        giveUp(call, call.state.pools.at(pending.pool), pending, reason);
+    for (auto id : waitingIds(context.state, poolName)) {
+        auto& pending = context.state.requests.at(id);
+        failWaiting(context, context.state.pools.at(pending.pool), pending, reason);
     }
 }
 
-void on(Call& call, const PoolChanged& event)
+void handle(Context& context, const PoolChanged& event)
 {
-    auto [found, isNew] = call.state.pools.try_emplace(event.pool);
+    auto [found, isNew] = context.state.pools.try_emplace(event.pool);
     auto& pool = found->second;
     if (isNew)
         pool.retryTokens = event.settings.retry.budgetBurst;
     pool.settings = event.settings;
     pool.balancer = Registry<Balancer>::instance().find(pool.settings.balancer);
     pool.admission = Registry<Admission>::instance().find(pool.settings.admission);
-    mergeEndpoints(pool, event.endpoints, call.now);
-    if (pool.accepting == 0)
-        return giveUpAll(call, event.pool, Reason::NoEndpoint);
-    drainQueue(call, pool);
+    mergeEndpoints(pool, event.endpoints, context.now);
+    if (pool.acceptingCount == 0)
+        return failAllWaiting(context, event.pool, Reason::NoEndpoint);
+    dispatchQueued(context, pool);
 }
 
-void on(Call& call, const EntryVmsChanged& event)
+void handle(Context& context, const EntryVmsChanged& event)
 {
-    auto found = call.state.pools.find(event.pool);
-    if (found == call.state.pools.end())
+    auto found = context.state.pools.find(event.pool);
+    if (found == context.state.pools.end())
         return;
-    shareSlots(found->second, event, call.now);
-    drainQueue(call, found->second);
+    updateEntryVms(found->second, event, context.now);
+    dispatchQueued(context, found->second);
 }
 
-/// Acts on a request whose back-off is over or that can no longer be started in time.
-void wake(Call& call, Pending& pending)
+/// Handles the timer of a request: its backoff is over, or it can no longer be started in time.
+void handleTimer(Context& context, PendingRequest& pending)
 {
-    auto& pool = call.state.pools.at(pending.pool);
+    auto& pool = context.state.pools.at(pending.pool);
     if (pending.stage == Stage::Queued)
-        return giveUp(call, pool, pending, deadlineReason(call, pending));
-    stopWaiting(call, pool, pending);
-    enqueue(call, pool, pending);
-    drainQueue(call, pool);
+        return failWaiting(context, pool, pending, deadlineReason(context, pending));
+    stopWaiting(context, pool, pending);
+    enqueue(context, pool, pending);
+    dispatchQueued(context, pool);
 }
 
-void on(Call&, const Tick&) { }
+void handle(Context&, const Tick&) { }
 
-void on(Call& call, const StopRequested&)
+void handle(Context& context, const StopRequested&)
 {
-    call.state.stopping = true;
-    giveUpAll(call, {}, Reason::Stopping);
+    context.state.stopping = true;
+    failAllWaiting(context, {}, Reason::Stopping);
 }
 
 } // namespace
@@ -357,10 +361,10 @@
 std::vector<Action> decide(State& state, const Event& event, TimePoint now)
 {
     std::vector<Action> actions;
-    Call call { state, now, actions };
-    std::visit([&](const auto& typed) { on(call, typed); }, event);
+    Context context { state, now, actions };
+    std::visit([&](const auto& typed) { handle(context, typed); }, event);
     while (!state.timers.empty() && state.timers.begin()->first <= now)
-        wake(call, state.requests.at(state.timers.begin()->second));
+        handleTimer(context, state.requests.at(state.timers.begin()->second));
     return actions;
 }
 
--- a/src/libkernel/request_admission.cpp
+++ b/src/libkernel/request_admission.cpp
@@ -6,68 +6,75 @@
 namespace damask::request {
 namespace {
 
-constexpr double deviationsToBound = 4; // as the retransmission time-out of RFC 6298
+constexpr double serviceTimeBoundDeviations = 4; // as for the retransmission timeout of RFC 6298
 constexpr double minRetryAfter = 1; // seconds
 constexpr double maxRetryAfter = 30; // seconds
-constexpr double rateMemory = 5; // seconds
+constexpr double rateTimeConstant = 5; // seconds; rates decay by a factor of e in this time
 constexpr std::chrono::seconds noEndpointRetryAfter { 5 };
 
-/// Seconds between two slots becoming free while all are taken (Little's law); 0 if not measured.
-double secondsPerSlot(const Pool& pool)
+/// Mean seconds until the next slot becomes free while all are taken (Little's law); 0 if not measured.
+double secondsPerFreedSlot(const Pool& pool)
 {
-    return pool.holdTime / std::max<std::uint32_t>(pool.usableSlots, 1);
+    return pool.slotHoldTime / std::max<std::uint32_t>(pool.usableSlots, 1);
 }
 
-/// Upper bound of the requests served before a new one.
-std::size_t servedBefore(const Pool& pool, bool urgent, const std::string& caller)
+/// Upper bound on the requests that are served before a new one.
+std::size_t maxServedBefore(const Pool& pool, bool urgent, const std::string& caller)
 {
     const std::size_t burst = std::max<std::uint32_t>(pool.settings.urgentBurst, 1);
     if (urgent) {
-        const auto before = servedBefore(pool.urgent, caller);
-        return before + std::min(pool.ordinary.size, before / burst);
+        const auto ahead = maxServedBefore(pool.urgent, caller);
+        return ahead + std::min(pool.ordinary.size, ahead / burst);
     }
-    const auto before = servedBefore(pool.ordinary, caller);
-    return before + std::min(pool.urgent.size, (before + 1) * burst);
+    const auto ahead = maxServedBefore(pool.ordinary, caller);
+    return ahead + std::min(pool.urgent.size, (ahead + 1) * burst);
 }
 
-double faded(const Rate& rate, TimePoint now)
+double decayedRate(const DecayingRate& rate, TimePoint now)
 {
-    return rate.perSecond * std::exp(-inSeconds(now - rate.last) / rateMemory);
+    return rate.perSecond * std::exp(-inSeconds(now - rate.lastEvent) / rateTimeConstant);
 }
 
 } // namespace
 
-void count(Rate& rate, TimePoint now)
+void recordEvent(DecayingRate& rate, TimePoint now)
 {
-    rate.perSecond = faded(rate, now) + 1 / rateMemory;
-    rate.last = now;
+    rate.perSecond = decayedRate(rate, now) + 1 / rateTimeConstant;
+    rate.lastEvent = now;
 }
 
 Load loadOf(const Pool& pool, TimePoint now)
 {
     Load load;
-    load.arrivals = faded(pool.arrivals, now);
+    load.arrivals = decayedRate(pool.arrivals, now);
     for (const auto& [id, endpoint] : pool.endpoints)
         load.inFlight += endpoint.inFlight;
-    load.queued = std::uint32_t(waiting(pool));
+    load.queued = std::uint32_t(waitingCount(pool));
     return load;
 }
 
-std::size_t waiting(const Pool& pool) { return pool.urgent.size + pool.ordinary.size + pool.backingOff; }
+std::size_t waitingCount(const Pool& pool)
+{
+    return pool.urgent.size + pool.ordinary.size + pool.backingOffCount;
+}
 
 double estimatedWait(const Pool& pool, bool urgent, const std::string& caller)
 {
-    return double(servedBefore(pool, urgent, caller) + 1) * secondsPerSlot(pool);
+    return double(maxServedBefore(pool, urgent, caller) + 1) * secondsPerFreedSlot(pool);
 }
 
-double serviceBound(const Pool& pool) { return pool.serviceTime + deviationsToBound * pool.serviceDeviation; }
+double serviceTimeBound(const Pool& pool)
+{
+    return pool.serviceTime + serviceTimeBoundDeviations * pool.serviceTimeDeviation;
+}
 
 std::chrono::seconds retryAfter(const Pool& pool, Reason reason)
 {
     if (reason == Reason::NoEndpoint)
         return noEndpointRetryAfter;
-    const auto untilEmpty = double(waiting(pool) + 1) * secondsPerSlot(pool);
-    return std::chrono::seconds(std::lround(std::ceil(std::clamp(untilEmpty, minRetryAfter, maxRetryAfter))));
+    const auto secondsUntilEmpty = double(waitingCount(pool) + 1) * secondsPerFreedSlot(pool);
+    return std::chrono::seconds(
+        std::lround(std::ceil(std::clamp(secondsUntilEmpty, minRetryAfter, maxRetryAfter))));
 }
 
 } // namespace damask::request
--- a/src/libkernel/request_endpoints.cpp
+++ b/src/libkernel/request_endpoints.cpp
@@ -6,70 +6,72 @@
 namespace damask::request {
 namespace {
 
-constexpr double endpointSmoothing = 0.2; // weight of the newest attempt
-constexpr double poolSmoothing = 0.05; // weight of the newest attempt
-constexpr double maxPoolFailureRate = 0.5; // above it the fault is not one endpoint's
-constexpr std::uint32_t maxEjectionDoublings = 10;
+constexpr double endpointSmoothingWeight = 0.2; // of the newest attempt
+constexpr double poolSmoothingWeight = 0.05; // of the newest attempt
+// Above this failure rate of the pool, the fault is probably not in a single endpoint.
+constexpr double maxPoolFailureRateForEjection = 0.5;
+constexpr std::uint32_t maxEjectionDoublings = 10; // bounds the shift
 
-void smooth(double& value, double observed, double weight)
+/// Exponential moving average. A value of 0 means that nothing was observed before.
+void updateMovingAverage(double& value, double observed, double weight)
 {
     value = value == 0 ? observed : value + weight * (observed - value);
 }
 
 std::vector<Endpoint*>& availableList(Pool& pool, const Endpoint& endpoint)
 {
-    return endpoint.extraLatency == Duration::zero() ? pool.local : pool.remote;
+    return endpoint.extraLatency == Duration::zero() ? pool.local : pool.availableRemote;
 }
 
-/// Slots that may be used now: one for a probe, a growing number in slow start.
-std::uint32_t openSlots(const Pool& pool, const Endpoint& endpoint, TimePoint now)
+/// Number of slots that may be used now: one while probing, a growing number during slow start.
+std::uint32_t allowedSlots(const Pool& pool, const Endpoint& endpoint, TimePoint now)
 {
-    if (!endpoint.accepting || endpoint.removed || endpoint.health.ejected)
+    if (!endpoint.accepting || endpoint.isRemoved || endpoint.health.isEjected)
         return 0;
-    if (endpoint.health.probing)
+    if (endpoint.health.isProbing)
         return std::min(endpoint.slots, 1u);
     const auto slowStart = pool.settings.health.slowStart;
     if (endpoint.health.slowStartFrom == TimePoint::min() || slowStart <= Duration::zero())
         return endpoint.slots;
     const auto share = inSeconds(now - endpoint.health.slowStartFrom) / inSeconds(slowStart);
-    const auto open = std::uint32_t(std::ceil(std::clamp(share, 0.0, 1.0) * endpoint.slots));
-    return std::min(std::max(open, 1u), endpoint.slots);
+    const auto allowed = std::uint32_t(std::ceil(std::clamp(share, 0.0, 1.0) * endpoint.slots));
+    return std::min(std::max(allowed, 1u), endpoint.slots);
 }
 
 void removeAvailable(std::vector<Endpoint*>& list, Endpoint& endpoint)
 {
-    list.back()->position = endpoint.position;
-    list[*endpoint.position] = list.back();
+    list.back()->availableIndex = endpoint.availableIndex;
+    list[*endpoint.availableIndex] = list.back();
     list.pop_back();
-    endpoint.position.reset();
+    endpoint.availableIndex.reset();
 }
 
-/// Puts the endpoint into, or takes it from, the list of those with a free slot.
+/// Adds the endpoint to the list of endpoints with a free slot, or removes it, as its slots require.
 void updateAvailable(Pool& pool, Endpoint& endpoint, TimePoint now)
 {
     auto& list = availableList(pool, endpoint);
-    const bool available = endpoint.inFlight < openSlots(pool, endpoint, now);
-    if (available == endpoint.position.has_value())
+    const bool isAvailable = endpoint.inFlight < allowedSlots(pool, endpoint, now);
+    if (isAvailable == endpoint.availableIndex.has_value())
         return;
-    if (!available)
+    if (!isAvailable)
         return removeAvailable(list, endpoint);
-    endpoint.position = list.size();
+    endpoint.availableIndex = list.size();
     list.push_back(&endpoint);
 }
 
-/// Counts endpoints and slots anew and rebuilds the lists of available endpoints.
-void rebuild(Pool& pool, TimePoint now)
+/// Recounts endpoints and slots and rebuilds the lists of endpoints with a free slot.
+void rebuildAvailability(Pool& pool, TimePoint now)
 {
     pool.local.clear();
-    pool.remote.clear();
-    pool.accepting = pool.usable = 0;
+    pool.availableRemote.clear();
+    pool.acceptingCount = pool.usable = 0;
     pool.usableSlots = pool.localSlots = 0;
     for (auto& [id, endpoint] : pool.endpoints) {
-        endpoint.position.reset();
-        if (!endpoint.accepting || endpoint.removed || endpoint.slots == 0)
+        endpoint.availableIndex.reset();
+        if (!endpoint.accepting || endpoint.isRemoved || endpoint.slots == 0)
             continue;
-        ++pool.accepting;
-        if (endpoint.health.ejected)
+        ++pool.acceptingCount;
+        if (endpoint.health.isEjected)
             continue;
         ++pool.usable;
         pool.usableSlots += endpoint.slots;
@@ -79,38 +81,38 @@
     }
 }
 
-/// Ends an ejection; the endpoint gets one request until it succeeds.
-void restore(Pool& pool, Endpoint& endpoint)
+/// Ends an ejection. The endpoint is limited to one request in flight until one succeeds.
+void endEjection(Pool& pool, Endpoint& endpoint)
 {
     pool.ejectedUntil.erase({ endpoint.health.ejectedUntil, endpoint.id });
-    endpoint.health.ejected = false;
-    endpoint.health.probing = true;
+    endpoint.health.isEjected = false;
+    endpoint.health.isProbing = true;
 }
 
-/// Ends all ejections if they would leave the pool without a usable endpoint.
-void keepOneUsable(Pool& pool, TimePoint now)
+/// Ends all ejections if every accepting endpoint is ejected.
+void ensureUsableEndpoint(Pool& pool, TimePoint now)
 {
-    if (pool.usable > 0 || pool.accepting == 0)
+    if (pool.usable > 0 || pool.acceptingCount == 0)
         return;
     for (auto& [id, endpoint] : pool.endpoints) {
-        if (endpoint.health.ejected)
-            restore(pool, endpoint);
+        if (endpoint.health.isEjected)
+            endEjection(pool, endpoint);
     }
-    rebuild(pool, now);
+    rebuildAvailability(pool, now);
 }
 
-bool mayEject(const Pool& pool, const Endpoint& endpoint)
+bool canEject(const Pool& pool, const Endpoint& endpoint)
 {
     const auto& settings = pool.settings.health;
     const auto& health = endpoint.health;
-    if (settings.failuresToEject == 0 || health.ejected || !endpoint.accepting || endpoint.removed)
+    if (settings.failuresToEject == 0 || health.isEjected || !endpoint.accepting || endpoint.isRemoved)
         return false;
-    if (!health.probing && health.consecutiveFailures < settings.failuresToEject)
+    if (!health.isProbing && health.consecutiveFailures < settings.failuresToEject)
         return false;
-    if (pool.failureRate > maxPoolFailureRate || pool.usable < 2)
+    if (pool.failureRate > maxPoolFailureRateForEjection || pool.usable < 2)
         return false;
-    const auto ejectedAfter = pool.accepting - pool.usable + 1;
-    return double(ejectedAfter) <= settings.maxEjectedShare * double(pool.accepting);
+    const auto ejectedCount = pool.acceptingCount - pool.usable + 1;
+    return double(ejectedCount) <= settings.maxEjectedShare * double(pool.acceptingCount);
 }
 
 void eject(Pool& pool, Endpoint& endpoint, TimePoint now)
@@ -118,58 +120,59 @@
     const auto& settings = pool.settings.health;
     auto& health = endpoint.health;
     const auto doublings = std::min(health.ejections, maxEjectionDoublings);
-    health.ejectedUntil = now + std::min(settings.ejection * (1 << doublings), settings.maxEjection);
-    health.ejected = true;
-    health.probing = false;
+    health.ejectedUntil
+        = now + std::min(settings.baseEjectionTime * (1 << doublings), settings.maxEjectionTime);
+    health.isEjected = true;
+    health.isProbing = false;
     ++health.ejections;
     ++pool.counters.ejections;
     pool.ejectedUntil.emplace(health.ejectedUntil, endpoint.id);
-    rebuild(pool, now);
+    rebuildAvailability(pool, now);
 }
 
 void recordSuccess(Pool& pool, Endpoint& endpoint, double seconds, TimePoint now)
 {
     auto& health = endpoint.health;
-    smooth(health.latency, seconds, endpointSmoothing);
-    health.measuredAt = now;
+    updateMovingAverage(health.latency, seconds, endpointSmoothingWeight);
+    health.latencyMeasuredAt = now;
     health.consecutiveFailures = 0;
     health.ejections = 0;
-    if (health.probing) {
-        health.probing = false;
+    if (health.isProbing) {
+        health.isProbing = false;
         health.slowStartFrom = now;
     }
     const auto deviation = std::abs(seconds - pool.serviceTime);
     if (pool.serviceTime > 0)
-        smooth(pool.serviceDeviation, deviation, poolSmoothing);
-    smooth(pool.serviceTime, seconds, poolSmoothing);
+        updateMovingAverage(pool.serviceTimeDeviation, deviation, poolSmoothingWeight);
+    updateMovingAverage(pool.serviceTime, seconds, poolSmoothingWeight);
 }
 
-/// Takes over the share \p target: a smaller one at once, a larger one after the delay.
-void setShare(const Pool& pool, Endpoint& endpoint, std::uint32_t target, TimePoint now)
+/// Changes the share of slots to \p target: reduces it at once, raises it after shareGrowthDelay.
+void setSlotShare(const Pool& pool, Endpoint& endpoint, std::uint32_t target, TimePoint now)
 {
     if (target <= endpoint.slots) {
         endpoint.slots = target;
-        endpoint.growAt = TimePoint::max();
+        endpoint.pendingSlotsAt = TimePoint::max();
         return;
     }
-    if (endpoint.growAt == TimePoint::max()) {
-        endpoint.growAt = now + pool.settings.shareGrowthDelay;
-        endpoint.nextSlots = target;
+    if (endpoint.pendingSlotsAt == TimePoint::max()) {
+        endpoint.pendingSlotsAt = now + pool.settings.shareGrowthDelay;
+        endpoint.pendingSlots = target;
     }
-    endpoint.nextSlots = std::min(endpoint.nextSlots, target);
-    if (endpoint.growAt > now)
+    endpoint.pendingSlots = std::min(endpoint.pendingSlots, target);
+    if (endpoint.pendingSlotsAt > now)
         return;
-    endpoint.slots = endpoint.nextSlots;
-    endpoint.growAt = TimePoint::max();
+    endpoint.slots = endpoint.pendingSlots;
+    endpoint.pendingSlotsAt = TimePoint::max();
 }
 
-/// The endpoint from which this entry VM gets a slot if it has a share of none: a pool may have
-/// fewer slots than there are entry VMs, and none shall refuse all its callers.
+/// The endpoint that gives this entry VM one slot beyond its shares if all its shares are 0; otherwise
+/// nullptr. A pool may have fewer slots than there are entry VMs, and no entry VM may refuse all its callers.
 const Endpoint* fallbackEndpoint(const Pool& pool)
 {
     const Endpoint* fallback = nullptr;
     for (const auto& [id, endpoint] : pool.endpoints) {
-        if (!endpoint.accepting || endpoint.removed || endpoint.declaredSlots == 0)
+        if (!endpoint.accepting || endpoint.isRemoved || endpoint.declaredSlots == 0)
             continue;
         if (slotShare(endpoint.declaredSlots, id, pool.self, pool.entryVms) > 0)
             return nullptr;
@@ -179,8 +182,8 @@
     return fallback;
 }
 
-/// Gives each endpoint this entry VM's share of its slots.
-void applyShares(Pool& pool, TimePoint now)
+/// Sets the slots of each endpoint to this entry VM's share of them.
+void updateSlotShares(Pool& pool, TimePoint now)
 {
     if (pool.entryVms.empty()) {
         for (auto& [id, endpoint] : pool.endpoints)
@@ -188,11 +191,11 @@
         return;
     }
     const auto* fallback = fallbackEndpoint(pool);
-    pool.sharesGrow = false;
+    pool.hasPendingSlots = false;
     for (auto& [id, endpoint] : pool.endpoints) {
         const auto share = slotShare(endpoint.declaredSlots, id, pool.self, pool.entryVms);
-        setShare(pool, endpoint, &endpoint == fallback ? 1 : share, now);
-        pool.sharesGrow = pool.sharesGrow || endpoint.growAt != TimePoint::max();
+        setSlotShare(pool, endpoint, &endpoint == fallback ? 1 : share, now);
+        pool.hasPendingSlots = pool.hasPendingSlots || endpoint.pendingSlotsAt != TimePoint::max();
     }
 }
 
@@ -212,12 +215,13 @@
     return chosen.id == avoided ? pool.balancer->choose(candidates) : chosen;
 }
 
-/// Whether an endpoint in another data centre answers sooner than the next free local slot would.
-bool spillPays(const Pool& pool, const Endpoint& endpoint, std::size_t queued)
+/// Whether \p endpoint, in another data centre, is expected to respond sooner than an endpoint of this
+/// data centre, where \p queued requests wait for slots.
+bool isSpillFaster(const Pool& pool, const Endpoint& endpoint, std::size_t queued)
 {
     if (pool.localSlots == 0)
         return true;
-    const auto wait = double(queued) * pool.holdTime / pool.localSlots;
+    const auto wait = double(queued) * pool.slotHoldTime / pool.localSlots;
     return wait > inSeconds(endpoint.extraLatency);
 }
 
@@ -225,67 +229,67 @@
 
 void mergeEndpoints(Pool& pool, const std::vector<Endpoint>& endpoints, TimePoint now)
 {
-    const bool hadUsable = pool.usable > 0;
+    const bool hadUsableEndpoint = pool.usable > 0;
     for (auto& [id, endpoint] : pool.endpoints)
-        endpoint.removed = true;
+        endpoint.isRemoved = true;
     for (const auto& update : endpoints) {
         auto [found, isNew] = pool.endpoints.try_emplace(update.id);
         auto& endpoint = found->second;
-        const bool returns = isNew || (update.accepting && !endpoint.accepting);
+        const bool isReturning = isNew || (update.accepting && !endpoint.accepting);
         if (isNew)
             endpoint.slots = update.slots;
-        if (returns)
-            endpoint.health.slowStartFrom = hadUsable ? now : TimePoint::min();
+        if (isReturning)
+            endpoint.health.slowStartFrom = hadUsableEndpoint ? now : TimePoint::min();
         endpoint.id = update.id;
         endpoint.declaredSlots = update.slots;
         endpoint.accepting = update.accepting;
         endpoint.extraLatency = update.extraLatency;
-        endpoint.removed = false;
+        endpoint.isRemoved = false;
     }
     for (auto& [id, endpoint] : pool.endpoints) {
-        if (endpoint.removed && endpoint.health.ejected)
-            restore(pool, endpoint);
+        if (endpoint.isRemoved && endpoint.health.isEjected)
+            endEjection(pool, endpoint);
     }
-    std::erase_if(
-        pool.endpoints, [](const auto& entry) { return entry.second.removed && entry.second.inFlight == 0; });
-    applyShares(pool, now);
-    rebuild(pool, now);
-    keepOneUsable(pool, now);
+    std::erase_if(pool.endpoints,
+        [](const auto& entry) { return entry.second.isRemoved && entry.second.inFlight == 0; });
+    updateSlotShares(pool, now);
+    rebuildAvailability(pool, now);
+    ensureUsableEndpoint(pool, now);
 }
 
-void shareSlots(Pool& pool, const EntryVmsChanged& event, TimePoint now)
+void updateEntryVms(Pool& pool, const EntryVmsChanged& event, TimePoint now)
 {
     auto weights = slotWeights(event.live);
-    if (pool.self == event.self && pool.entryVms == weights && !pool.sharesGrow)
+    if (pool.self == event.self && pool.entryVms == weights && !pool.hasPendingSlots)
         return;
     pool.self = event.self;
     pool.entryVms = std::move(weights);
-    applyShares(pool, now);
-    rebuild(pool, now);
-    keepOneUsable(pool, now);
+    updateSlotShares(pool, now);
+    rebuildAvailability(pool, now);
+    ensureUsableEndpoint(pool, now);
 }
 
-void restoreEjected(Pool& pool, TimePoint now)
+void endExpiredEjections(Pool& pool, TimePoint now)
 {
-    bool restored = false;
+    bool anyEnded = false;
     while (!pool.ejectedUntil.empty() && pool.ejectedUntil.begin()->first <= now) {
-        restore(pool, pool.endpoints.at(pool.ejectedUntil.begin()->second));
-        restored = true;
+        endEjection(pool, pool.endpoints.at(pool.ejectedUntil.begin()->second));
+        anyEnded = true;
     }
-    if (restored)
-        rebuild(pool, now);
+    if (anyEnded)
+        rebuildAvailability(pool, now);
 }
 
 Endpoint* chooseEndpoint(
     Pool& pool, const EndpointId& avoided, std::size_t queued, std::mt19937_64& random, TimePoint now)
 {
-    restoreEjected(pool, now);
+    endExpiredEjections(pool, now);
     if (!pool.local.empty())
         return &chooseFrom(pool, pool.local, avoided, random, now);
-    if (pool.remote.empty())
+    if (pool.availableRemote.empty())
         return nullptr;
-    auto& spilled = chooseFrom(pool, pool.remote, avoided, random, now);
-    return spillPays(pool, spilled, queued) ? &spilled : nullptr;
+    auto& remoteEndpoint = chooseFrom(pool, pool.availableRemote, avoided, random, now);
+    return isSpillFaster(pool, remoteEndpoint, queued) ? &remoteEndpoint : nullptr;
 }
 
 void takeSlot(Pool& pool, Endpoint& endpoint, TimePoint now)
@@ -303,7 +307,7 @@
         return;
     auto& endpoint = found->second;
     --endpoint.inFlight;
-    if (endpoint.removed && endpoint.inFlight == 0)
+    if (endpoint.isRemoved && endpoint.inFlight == 0)
         pool.endpoints.erase(found);
     else
         updateAvailable(pool, endpoint, now);
@@ -311,17 +315,17 @@
 
 void recordAttempt(Pool& pool, const EndpointId& id, const AttemptRecord& record, TimePoint now)
 {
-    smooth(pool.holdTime, record.seconds, poolSmoothing);
+    updateMovingAverage(pool.slotHoldTime, record.seconds, poolSmoothingWeight);
     auto found = pool.endpoints.find(id);
-    if (found == pool.endpoints.end() || (!record.answered && !record.blamesEndpoint))
+    if (found == pool.endpoints.end() || (!record.isSuccess && !record.isEndpointFault))
         return;
     auto& endpoint = found->second;
-    const double failure = record.answered ? 0 : 1;
-    endpoint.health.failureRate += endpointSmoothing * (failure - endpoint.health.failureRate);
-    pool.failureRate += poolSmoothing * (failure - pool.failureRate);
-    if (record.answered)
+    const double failure = record.isSuccess ? 0 : 1;
+    endpoint.health.failureRate += endpointSmoothingWeight * (failure - endpoint.health.failureRate);
+    pool.failureRate += poolSmoothingWeight * (failure - pool.failureRate);
+    if (record.isSuccess)
         recordSuccess(pool, endpoint, record.seconds, now);
-    else if (++endpoint.health.consecutiveFailures; mayEject(pool, endpoint))
+    else if (++endpoint.health.consecutiveFailures; canEject(pool, endpoint))
         eject(pool, endpoint, now);
     updateAvailable(pool, endpoint, now);
 }
--- a/src/libkernel/request_property_test.cpp
+++ b/src/libkernel/request_property_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Properties of the request kernel over random orders of events, late and duplicated ones included.
+/// Property tests of the request path: random sequences of events, including late and duplicated ones.
 #include "request_model_test.h"
 
 #include <algorithm>
@@ -16,7 +16,7 @@
 constexpr std::uint32_t poolCount = 2;
 constexpr std::uint32_t endpointCount = 4;
 
-/// One random choice of what happens next; its numbers are read as the kind demands.
+/// One random step of a simulation. The kind selects an event; the other numbers are its parameters.
 struct Step {
     std::uint32_t kind;
     std::uint32_t a;
@@ -24,7 +24,7 @@
     std::uint32_t milliseconds;
 };
 
-rc::Gen<Step> anyStep()
+rc::Gen<Step> genStep()
 {
     const auto number = rc::gen::inRange<std::uint32_t>(0, 1 << 16);
     return rc::gen::apply(
@@ -34,15 +34,15 @@
         rc::gen::inRange<std::uint32_t>(0, 100), number, number, number);
 }
 
-class Run {
+class Simulation {
 public:
-    Run()
+    Simulation()
     {
         for (std::uint32_t pool = 0; pool < poolCount; ++pool)
             changePool(pool, 0xffff, 2);
     }
 
-    void take(const Step& step)
+    void apply(const Step& step)
     {
         m_now += std::chrono::milliseconds(step.milliseconds / 4);
         if (step.kind < 45)
@@ -50,9 +50,9 @@
         else if (step.kind < 75)
             endAttempt(step);
         else if (step.kind < 80)
-            repeatEnd(step);
+            duplicateEnd(step);
         else if (step.kind < 85)
-            give(CallerGone { 1 + step.a % (m_nextId + 1) });
+            send(CallerGone { 1 + step.a % (m_nextId + 1) });
         else if (step.kind < 90)
             changePool(step.a % poolCount, step.b, step.a % 3);
         else if (step.kind < 93)
@@ -60,17 +60,17 @@
         else if (step.kind < 99)
             tick(step);
         else if (step.a % 4 == 0)
-            give(StopRequested {});
+            send(StopRequested {});
     }
 
-    /// Ends all attempts and lets all time pass.
-    void finish()
+    /// Ends all attempts in flight and fires all timers, until neither is left.
+    void drain()
     {
-        for (int round = 0; round < 10'000 && (!m_open.empty() || hasTimer()); ++round) {
-            if (!m_open.empty())
+        for (int round = 0; round < 10'000 && (!m_inFlight.empty() || hasTimer()); ++round) {
+            if (!m_inFlight.empty())
                 end(0, AttemptEnded::Result::NotStarted);
             else
-                wakeAtNextDeadline();
+                advanceToNextTimer();
         }
         checker.checkAllAnswered();
     }
@@ -81,77 +81,78 @@
 private:
     bool hasTimer() const { return nextDeadline(state) != TimePoint::max(); }
 
-    void wakeAtNextDeadline()
+    void advanceToNextTimer()
     {
         m_now = std::max(m_now, nextDeadline(state));
-        give(Tick {});
+        send(Tick {});
     }
 
-    void give(const Event& event)
+    void send(const Event& event)
     {
-        giveOnce(event);
-        passDeadlines();
+        handleEvent(event);
+        fireDueTimers();
     }
 
-    void giveOnce(const Event& event)
+    void handleEvent(const Event& event)
     {
-        for (const auto& action : checker.give(state, event, m_now)) {
+        for (const auto& action : checker.apply(state, event, m_now)) {
             if (const auto* dispatch = std::get_if<Dispatch>(&action))
-                m_open.push_back({ dispatch->id, dispatch->attempt });
-            if (const auto* abandon = std::get_if<Abandon>(&action))
-                std::erase_if(m_open, [&](const auto& open) { return open.first == abandon->id; });
+                m_inFlight.push_back({ dispatch->id, dispatch->attempt });
+            if (const auto* cancelled = std::get_if<Abandon>(&action))
+                std::erase_if(
+                    m_inFlight, [&](const auto& attempt) { return attempt.first == cancelled->id; });
         }
     }
 
-    /// The daemon's timer runs at each deadline before any later event.
-    void passDeadlines()
+    /// Fires the timers that are due. The daemon's timer does so before any later event.
+    void fireDueTimers()
     {
         if (nextDeadline(state) <= m_now)
-            giveOnce(Tick {});
+            handleEvent(Tick {});
     }
 
     void arrive(const Step& step)
     {
         Arrived event;
-        const bool repeated = step.milliseconds == 0 && state.requests.contains(m_nextId);
-        event.id = repeated ? m_nextId : ++m_nextId;
+        const bool isDuplicate = step.milliseconds == 0 && state.requests.contains(m_nextId);
+        event.id = isDuplicate ? m_nextId : ++m_nextId;
         event.pool = "pool-" + std::to_string(step.a % poolCount);
         event.deadline = m_now + std::chrono::milliseconds(1 + step.b % 300);
         event.idempotent = step.a / poolCount % 2 == 0;
         event.urgent = step.a / 4 % 4 == 0;
         event.callerId = "caller-" + std::to_string(step.a / 16 % 3);
-        passDeadlines();
-        give(event);
+        fireDueTimers();
+        send(event);
     }
 
     void end(std::size_t index, AttemptEnded::Result result, bool serverError = false)
     {
-        const auto [id, attempt] = m_open[index];
-        m_open.erase(m_open.begin() + std::ptrdiff_t(index));
-        m_ended.push_back({ id, result, attempt, serverError });
-        passDeadlines();
-        give(m_ended.back());
+        const auto [id, attempt] = m_inFlight[index];
+        m_inFlight.erase(m_inFlight.begin() + std::ptrdiff_t(index));
+        m_endedAttempts.push_back({ id, result, attempt, serverError });
+        fireDueTimers();
+        send(m_endedAttempts.back());
     }
 
     void endAttempt(const Step& step)
     {
-        if (m_open.empty())
+        if (m_inFlight.empty())
             return;
         const auto result = static_cast<AttemptEnded::Result>(step.b % 3);
-        end(step.a % m_open.size(), result, step.b / 3 % 4 == 0);
+        end(step.a % m_inFlight.size(), result, step.b / 3 % 4 == 0);
     }
 
-    void repeatEnd(const Step& step)
+    void duplicateEnd(const Step& step)
     {
-        passDeadlines();
-        if (!m_ended.empty())
-            give(AttemptEnded { m_ended[step.a % m_ended.size()] });
+        fireDueTimers();
+        if (!m_endedAttempts.empty())
+            send(AttemptEnded { m_endedAttempts[step.a % m_endedAttempts.size()] });
     }
 
     void tick(const Step& step)
     {
         m_now += std::chrono::milliseconds(step.milliseconds);
-        give(Tick {});
+        send(Tick {});
     }
 
     void changeEntryVms(const Step& step)
@@ -160,84 +161,85 @@
         event.live.push_back({ "entry-1", double(step.b % 3) });
         for (std::uint32_t other = 2; other < 2 + step.b / 3 % 4; ++other)
             event.live.push_back({ "entry-" + std::to_string(other), double(step.a / 2 % 7) });
-        passDeadlines();
-        give(event);
+        fireDueTimers();
+        send(event);
     }
 
-    /// Bits of \p choice say which endpoints are in the pool and which accept.
-    void changePool(std::uint32_t pool, std::uint32_t choice, std::uint32_t slots)
+    /// Changes the endpoints of a pool. Each endpoint has three bits of \p endpointBits: bit 0 puts it into
+    /// the pool, and it accepts requests if bit 1 or 2 is set.
+    void changePool(std::uint32_t pool, std::uint32_t endpointBits, std::uint32_t slots)
     {
         PoolChanged event;
         event.pool = "pool-" + std::to_string(pool);
         event.settings.queueLimit = 4;
         event.settings.health.failuresToEject = 3;
         event.settings.health.maxEjectedShare = 1;
-        event.settings.health.ejection = 20ms;
+        event.settings.health.baseEjectionTime = 20ms;
         event.settings.health.slowStart = 50ms;
         for (std::uint32_t index = 0; index < endpointCount; ++index) {
-            const auto bits = choice >> (3 * index);
+            const auto bits = endpointBits >> (3 * index);
             if (bits & 1)
                 event.endpoints.push_back({ "vm-" + std::to_string(index), slots, 0, (bits & 6) != 0,
                     index == 3 ? Duration(2ms) : Duration::zero() });
         }
-        passDeadlines();
-        give(event);
+        fireDueTimers();
+        send(event);
     }
 
     TimePoint m_now { 1h };
     RequestId m_nextId = 0;
-    std::vector<std::pair<RequestId, std::uint32_t>> m_open; ///< attempts in flight
-    std::vector<AttemptEnded> m_ended;
+    std::vector<std::pair<RequestId, std::uint32_t>> m_inFlight; ///< attempts in flight
+    std::vector<AttemptEnded> m_endedAttempts;
 };
 
-/// Whether a pool has endpoints that accept, and all of them are ejected.
-bool isEmptiedByEjection(const Pool& pool)
+/// Whether a pool has accepting endpoints and all of them are ejected.
+bool areAllEndpointsEjected(const Pool& pool)
 {
     std::size_t accepting = 0;
     std::size_t ejected = 0;
     for (const auto& [id, endpoint] : pool.endpoints) {
-        if (!endpoint.accepting || endpoint.removed || endpoint.slots == 0)
+        if (!endpoint.accepting || endpoint.isRemoved || endpoint.slots == 0)
             continue;
         ++accepting;
-        ejected += endpoint.health.ejected;
+        ejected += endpoint.health.isEjected;
     }
     return accepting > 0 && ejected == accepting;
 }
 
-std::string firstViolation(const Run& run)
+std::string firstViolation(const Simulation& simulation)
 {
-    const auto& violations = run.checker.violations();
+    const auto& violations = simulation.checker.violations();
     return violations.empty() ? "" : violations.front();
 }
 
 } // namespace
 
-RC_BOOST_PROP(promisesHoldInAnyOrderOfEvents, ())
+RC_BOOST_PROP(invariantsHoldInAnyEventOrder, ())
 {
-    const auto steps = *rc::gen::resize(400, rc::gen::container<std::vector<Step>>(anyStep())).as("steps");
-    Run run;
+    const auto steps = *rc::gen::resize(400, rc::gen::container<std::vector<Step>>(genStep())).as("steps");
+    Simulation simulation;
     for (const auto& step : steps)
-        run.take(step);
-    run.finish();
-    RC_CLASSIFY(run.checker.requests().size() > 50, "more than 50 requests");
-    RC_ASSERT(firstViolation(run) == "");
+        simulation.apply(step);
+    simulation.drain();
+    RC_CLASSIFY(simulation.checker.requests().size() > 50, "more than 50 requests");
+    RC_ASSERT(firstViolation(simulation) == "");
 }
 
-RC_BOOST_PROP(nothingIsLeftBehind, ())
+RC_BOOST_PROP(noStateIsLeftAfterLastRequest, ())
 {
-    const auto steps = *rc::gen::resize(200, rc::gen::container<std::vector<Step>>(anyStep())).as("steps");
-    Run run;
+    const auto steps = *rc::gen::resize(200, rc::gen::container<std::vector<Step>>(genStep())).as("steps");
+    Simulation simulation;
     for (const auto& step : steps) {
-        run.take(step);
-        for (const auto& [name, pool] : run.state.pools)
-            RC_ASSERT(!isEmptiedByEjection(pool));
-    }
-    run.finish();
-    RC_ASSERT(run.state.requests.empty());
-    RC_ASSERT(run.state.timers.empty());
-    for (const auto& [name, pool] : run.state.pools) {
+        simulation.apply(step);
+        for (const auto& [name, pool] : simulation.state.pools)
+            RC_ASSERT(!areAllEndpointsEjected(pool));
+    }
+    simulation.drain();
+    RC_ASSERT(simulation.state.requests.empty());
+    RC_ASSERT(simulation.state.timers.empty());
+    for (const auto& [name, pool] : simulation.state.pools) {
         RC_ASSERT(pool.ordinary.byCaller.empty() && pool.urgent.byCaller.empty());
-        RC_ASSERT(pool.ordinary.size + pool.urgent.size + pool.backingOff == 0u);
+        RC_ASSERT(pool.ordinary.size + pool.urgent.size + pool.backingOffCount == 0u);
         for (const auto& [id, endpoint] : pool.endpoints)
             RC_ASSERT(endpoint.inFlight == 0u);
     }
--- a/src/libkernel/request_queue.cpp
+++ b/src/libkernel/request_queue.cpp
@@ -5,7 +5,8 @@
 namespace damask::request {
 namespace {
 
-void changeLength(FairQueue& queue, const std::string& caller, std::size_t before, std::size_t after)
+/// Updates byLength after a change in the number of requests of \p caller.
+void updateLengthIndex(FairQueue& queue, const std::string& caller, std::size_t before, std::size_t after)
 {
     if (before > 0)
         queue.byLength.erase({ before, caller });
@@ -21,7 +22,7 @@
     const auto before = requests.size();
     if (!requests.insert(id).second)
         return;
-    changeLength(queue, caller, before, before + 1);
+    updateLengthIndex(queue, caller, before, before + 1);
     ++queue.size;
 }
 
@@ -31,7 +32,7 @@
     if (found == queue.byCaller.end() || found->second.erase(id) == 0)
         return;
     const auto after = found->second.size();
-    changeLength(queue, caller, after + 1, after);
+    updateLengthIndex(queue, caller, after + 1, after);
     if (after == 0)
         queue.byCaller.erase(found);
     --queue.size;
@@ -39,12 +40,12 @@
 
 RequestId pop(FairQueue& queue)
 {
-    auto next = queue.byCaller.upper_bound(queue.lastServed);
+    auto next = queue.byCaller.upper_bound(queue.lastServedCaller);
     if (next == queue.byCaller.end())
         next = queue.byCaller.begin();
     const auto id = *next->second.begin();
-    queue.lastServed = next->first;
-    erase(queue, queue.lastServed, id);
+    queue.lastServedCaller = next->first;
+    erase(queue, queue.lastServedCaller, id);
     return id;
 }
 
@@ -54,14 +55,14 @@
     return found == queue.byCaller.end() ? 0 : found->second.size();
 }
 
-std::optional<RequestId> newestOfLongest(const FairQueue& queue, std::size_t length)
+std::optional<RequestId> newestOfLongestQueue(const FairQueue& queue, std::size_t length)
 {
     if (queue.byLength.empty() || queue.byLength.rbegin()->first <= length)
         return std::nullopt;
     return *queue.byCaller.find(queue.byLength.rbegin()->second)->second.rbegin();
 }
 
-std::size_t servedBefore(const FairQueue& queue, const std::string& caller)
+std::size_t maxServedBefore(const FairQueue& queue, const std::string& caller)
 {
     const auto rounds = lengthOf(queue, caller) + 1;
     return std::min(queue.size, rounds * std::max<std::size_t>(queue.byCaller.size(), 1));
--- a/src/libkernel/request_slots.cpp
+++ b/src/libkernel/request_slots.cpp
@@ -9,10 +9,10 @@
 namespace damask::request {
 namespace {
 
-constexpr double minShareOfMean = 0.125;
+constexpr double minRelativeDemand = 0.125; // relative to the mean
 
-/// A number in [0, 1) that depends on the endpoint only.
-double offsetOf(std::string_view endpoint)
+/// Offset for systematic sampling: a hash of the endpoint in [0, 1), the same on all entry VMs.
+double samplingOffset(std::string_view endpoint)
 {
     constexpr int mantissaBits = 53;
     constexpr int unusedBits = 64 - mantissaBits;
@@ -28,8 +28,9 @@
         total += vm.demand;
     std::vector<EntryVmWeight> weights;
     for (const auto& vm : live) {
-        const auto relative = total > 0 ? vm.demand * double(live.size()) / total : 1;
-        weights.push_back({ vm.id, std::exp2(std::round(std::log2(std::max(relative, minShareOfMean)))) });
+        const auto relativeDemand = total > 0 ? vm.demand * double(live.size()) / total : 1;
+        weights.push_back(
+            { vm.id, std::exp2(std::round(std::log2(std::max(relativeDemand, minRelativeDemand)))) });
     }
     return weights;
 }
@@ -40,14 +41,14 @@
     double total = 0;
     for (const auto& vm : live)
         total += vm.weight;
-    const double offset = offsetOf(endpoint);
-    double before = 0;
+    const double offset = samplingOffset(endpoint);
+    double weightBefore = 0;
     for (std::size_t index = 0; index < live.size(); ++index) {
-        const auto after = before + live[index].weight;
+        const auto weightAfter = weightBefore + live[index].weight;
         const bool isLast = index + 1 == live.size();
-        const auto end = isLast ? slots + offset : slots * after / total + offset;
-        const auto start = slots * before / total + offset;
-        before = after;
+        const auto end = isLast ? slots + offset : slots * weightAfter / total + offset;
+        const auto start = slots * weightBefore / total + offset;
+        weightBefore = weightAfter;
         if (live[index].id == self)
             return std::uint32_t(std::max(std::floor(end) - std::floor(start), 0.0));
     }
--- a/src/libkernel/request_test.cpp
+++ b/src/libkernel/request_test.cpp
@@ -15,12 +15,12 @@
     Fixture()
     {
         settings.queueLimit = 10;
-        usePool({ { "vm-1", 1, 0, true } });
+        changePool({ { "vm-1", 1, 0, true } });
     }
 
-    void usePool(const std::vector<Endpoint>& endpoints)
+    void changePool(const std::vector<Endpoint>& endpoints)
     {
-        note(decide(state, PoolChanged { "pricing", settings, endpoints }, now));
+        recordDispatches(decide(state, PoolChanged { "pricing", settings, endpoints }, now));
     }
 
     /// Ten endpoints with 8 slots each.
@@ -32,7 +32,7 @@
         return endpoints;
     }
 
-    std::vector<Action> note(std::vector<Action> actions)
+    std::vector<Action> recordDispatches(std::vector<Action> actions)
     {
         for (const auto& action : actions) {
             if (const auto* dispatch = std::get_if<Dispatch>(&action))
@@ -44,17 +44,18 @@
     std::vector<Action> arrive(RequestId id, Duration timeLeft = 1s, const std::string& caller = "a",
         bool urgent = false, bool idempotent = false)
     {
-        return note(
+        return recordDispatches(
             decide(state, Arrived { id, "pricing", now + timeLeft, idempotent, urgent, caller }, now));
     }
 
     std::vector<Action> end(const Dispatch& dispatch, Result result, bool serverError = false)
     {
-        return note(decide(state, AttemptEnded { dispatch.id, result, dispatch.attempt, serverError }, now));
+        return recordDispatches(
+            decide(state, AttemptEnded { dispatch.id, result, dispatch.attempt, serverError }, now));
     }
 
-    /// Serves one request alone, which gives the pool a measured service time.
-    void measure(Duration serviceTime)
+    /// Serves one request on its own, so that the pool has a measured service time.
+    void measureServiceTime(Duration serviceTime)
     {
         arrive(1'000'000 + dispatches.size(), 1h);
         now += serviceTime;
@@ -79,7 +80,7 @@
     std::vector<Dispatch> dispatches;
 };
 
-Reply replyIn(const std::vector<Action>& actions)
+Reply firstReply(const std::vector<Action>& actions)
 {
     BOOST_REQUIRE(!actions.empty());
     return std::get<Reply>(actions.front());
@@ -90,50 +91,51 @@
 BOOST_FIXTURE_TEST_CASE(requestIsDispatchedQueuedAndRefused, Fixture)
 {
     settings.queueLimit = 1;
-    usePool({ { "vm-1", 1, 0, true } });
+    changePool({ { "vm-1", 1, 0, true } });
     BOOST_TEST(std::holds_alternative<Dispatch>(arrive(1).at(0)));
     BOOST_TEST(arrive(2).empty());
-    const auto refused = replyIn(arrive(3));
+    const auto refused = firstReply(arrive(3));
     BOOST_TEST((refused.outcome == Outcome::NotRun));
     BOOST_TEST((refused.reason == Reason::QueueFull));
     BOOST_TEST(refused.retryAfter.count() > 0);
     BOOST_TEST(end(dispatches.at(0), Result::Answered).size() == 2u);
 }
 
-BOOST_FIXTURE_TEST_CASE(possiblyRunRequestIsNotSentAgain, Fixture)
+BOOST_FIXTURE_TEST_CASE(requestThatMayHaveRunIsNotRetried, Fixture)
 {
     arrive(1);
-    BOOST_TEST((replyIn(end(dispatches.at(0), Result::Failed)).outcome == Outcome::Unknown));
+    BOOST_TEST((firstReply(end(dispatches.at(0), Result::Failed)).outcome == Outcome::Unknown));
 }
 
 BOOST_FIXTURE_TEST_CASE(refusedAtOnceWhenDeadlineCannotBeMet, Fixture)
 {
-    measure(100ms);
+    measureServiceTime(100ms);
     arrive(1);
     arrive(2);
     BOOST_TEST(arrive(3, 1s).empty());
-    const auto refused = replyIn(arrive(4, 350ms));
+    const auto refused = firstReply(arrive(4, 350ms));
     BOOST_TEST((refused.reason == Reason::DeadlineNear));
     BOOST_TEST((refused.outcome == Outcome::NotRun));
 }
 
-BOOST_FIXTURE_TEST_CASE(retryAfterFollowsQueueAndServiceRate, Fixture)
+BOOST_FIXTURE_TEST_CASE(retryAfterDependsOnQueueAndServiceRate, Fixture)
 {
-    measure(2s);
+    measureServiceTime(2s);
     for (RequestId id = 1; id <= 5; ++id)
         arrive(id, 1min);
-    BOOST_TEST(replyIn(arrive(6, 3s)).retryAfter.count() == 10); // 4 queued and itself, 2 s each
+    // 4 queued requests and the new one, 2 s each.
+    BOOST_TEST(firstReply(arrive(6, 3s)).retryAfter.count() == 10);
 }
 
-BOOST_FIXTURE_TEST_CASE(queuedRequestIsGivenUpAtItsLatestStart, Fixture)
+BOOST_FIXTURE_TEST_CASE(queuedRequestFailsAtItsLatestStart, Fixture)
 {
-    measure(100ms);
+    measureServiceTime(100ms);
     arrive(1, 10s);
     arrive(2, 1s);
     const auto deadline = now + 1s;
     BOOST_TEST((nextDeadline(state) == deadline - 100ms));
     now = nextDeadline(state);
-    BOOST_TEST((replyIn(decide(state, Tick {}, now)).reason == Reason::DeadlineNear));
+    BOOST_TEST((firstReply(decide(state, Tick {}, now)).reason == Reason::DeadlineNear));
 }
 
 BOOST_FIXTURE_TEST_CASE(callersAreServedInTurn, Fixture)
@@ -145,20 +147,20 @@
     BOOST_TEST(serveAll() == (std::vector<RequestId> { 1, 2, 7, 3, 8, 4, 5, 6 }));
 }
 
-BOOST_FIXTURE_TEST_CASE(fullQueueMakesRoomForAnotherCaller, Fixture)
+BOOST_FIXTURE_TEST_CASE(fullQueueEvictsRequestOfLargestCaller, Fixture)
 {
     for (RequestId id = 1; id <= 11; ++id)
         arrive(id, 1s, "greedy");
-    const auto evicted = replyIn(arrive(12, 1s, "modest"));
+    const auto evicted = firstReply(arrive(12, 1s, "modest"));
     BOOST_TEST(evicted.id == 11u);
     BOOST_TEST((evicted.reason == Reason::QueueFull));
-    BOOST_TEST(replyIn(arrive(13, 1s, "greedy")).id == 13u);
+    BOOST_TEST(firstReply(arrive(13, 1s, "greedy")).id == 13u);
 }
 
-BOOST_FIXTURE_TEST_CASE(urgentGoesFirstWithoutStarvingOrdinary, Fixture)
+BOOST_FIXTURE_TEST_CASE(urgentRequestsGoFirstWithoutStarvingOrdinaryOnes, Fixture)
 {
     settings.urgentBurst = 2;
-    usePool({ { "vm-1", 1, 0, true } });
+    changePool({ { "vm-1", 1, 0, true } });
     for (RequestId id = 1; id <= 3; ++id)
         arrive(id);
     for (RequestId id = 4; id <= 7; ++id)
@@ -166,14 +168,14 @@
     BOOST_TEST(serveAll() == (std::vector<RequestId> { 1, 4, 5, 2, 6, 7, 3 }));
 }
 
-BOOST_FIXTURE_TEST_CASE(retriesStayWithinTheirBudget, Fixture)
+BOOST_FIXTURE_TEST_CASE(retriesStayWithinBudget, Fixture)
 {
-    usePool(tenEndpoints());
+    changePool(tenEndpoints());
     for (RequestId id = 1; id <= 500; ++id) {
         arrive(id);
         for (int step = 0; step < 1000 && !state.requests.empty(); ++step) {
             now += 1ms;
-            note(decide(state, Tick {}, now));
+            recordDispatches(decide(state, Tick {}, now));
             if (state.timers.empty())
                 end(Dispatch(dispatches.back()), Result::NotStarted);
         }
@@ -183,9 +185,9 @@
     BOOST_TEST(dispatches.size() <= 510u);
 }
 
-BOOST_FIXTURE_TEST_CASE(backOffIsRandomAndGrows, Fixture)
+BOOST_FIXTURE_TEST_CASE(backoffIsRandomAndBounded, Fixture)
 {
-    usePool(tenEndpoints());
+    changePool(tenEndpoints());
     settings.retry.budgetBurst = 1000;
     Duration longest {};
     for (RequestId id = 1; id <= 9; ++id) {
@@ -197,24 +199,24 @@
     BOOST_TEST((longest > Duration::zero()));
 }
 
-BOOST_FIXTURE_TEST_CASE(fastFailingEndpointAttractsNoWork, Fixture)
+BOOST_FIXTURE_TEST_CASE(fastFailingEndpointGetsFewRequests, Fixture)
 {
-    usePool(tenEndpoints());
-    int toBad = 0;
+    changePool(tenEndpoints());
+    int failingDispatches = 0;
     for (RequestId id = 1; id <= 2000; ++id) {
         arrive(id);
         const auto dispatch = dispatches.back();
-        const bool bad = dispatch.endpoint == "vm-3";
-        toBad += bad;
-        now += bad ? 1ms : 10ms;
-        end(dispatch, Result::Answered, bad);
+        const bool isFailing = dispatch.endpoint == "vm-3";
+        failingDispatches += isFailing;
+        now += isFailing ? 1ms : 10ms;
+        end(dispatch, Result::Answered, isFailing);
     }
-    BOOST_TEST(toBad <= 40); // 2%
+    BOOST_TEST(failingDispatches <= 40); // 2%
 }
 
-BOOST_FIXTURE_TEST_CASE(ejectionLeavesHalfOfThePool, Fixture)
+BOOST_FIXTURE_TEST_CASE(ejectionLeavesHalfOfThePoolUsable, Fixture)
 {
-    usePool(tenEndpoints());
+    changePool(tenEndpoints());
     for (RequestId id = 1; id <= 2000; ++id) {
         arrive(id);
         now += 1ms;
@@ -225,38 +227,39 @@
     BOOST_TEST(pool().counters.ejections >= 5u);
 }
 
-BOOST_FIXTURE_TEST_CASE(faultOfAllEndpointsEjectsFew, Fixture)
+BOOST_FIXTURE_TEST_CASE(poolWideFailureEjectsFewEndpoints, Fixture)
 {
-    usePool(tenEndpoints());
+    changePool(tenEndpoints());
     for (RequestId id = 1; id <= 2000; ++id) {
         arrive(id);
         end(Dispatch(dispatches.back()), Result::Answered, true);
     }
-    BOOST_TEST(pool().usable >= 8u); // 14 failures bring the pool's failure rate over a half
+    // After 14 failures the failure rate of the pool exceeds 0.5, which stops further ejections.
+    BOOST_TEST(pool().usable >= 8u);
 }
 
-BOOST_FIXTURE_TEST_CASE(lastEndpointIsUsedAlthoughItWasEjected, Fixture)
+BOOST_FIXTURE_TEST_CASE(lastEndpointIsUsedEvenIfEjected, Fixture)
 {
-    usePool({ { "vm-1", 8, 0, true }, { "vm-2", 8, 0, true } });
+    changePool({ { "vm-1", 8, 0, true }, { "vm-2", 8, 0, true } });
     for (RequestId id = 1; id <= 100; ++id) {
         arrive(id);
         end(Dispatch(dispatches.back()), Result::Answered, dispatches.back().endpoint == "vm-2");
     }
-    BOOST_REQUIRE(pool().endpoints.at("vm-2").health.ejected);
-    usePool({ { "vm-2", 8, 0, true } });
+    BOOST_REQUIRE(pool().endpoints.at("vm-2").health.isEjected);
+    changePool({ { "vm-2", 8, 0, true } });
     BOOST_TEST(std::holds_alternative<Dispatch>(arrive(200).at(0)));
 }
 
-BOOST_FIXTURE_TEST_CASE(ejectedEndpointIsProbedAndComesBack, Fixture)
+BOOST_FIXTURE_TEST_CASE(ejectedEndpointIsProbedAndRestored, Fixture)
 {
     settings.health.slowStart = Duration::zero();
-    usePool({ { "vm-1", 8, 0, true }, { "vm-2", 8, 0, true } });
+    changePool({ { "vm-1", 8, 0, true }, { "vm-2", 8, 0, true } });
     for (RequestId id = 1; pool().counters.ejections == 0 && id <= 100; ++id) {
         arrive(id);
         end(Dispatch(dispatches.back()), Result::Answered, dispatches.back().endpoint == "vm-2");
     }
-    BOOST_REQUIRE(pool().endpoints.at("vm-2").health.ejected);
-    now += settings.health.ejection;
+    BOOST_REQUIRE(pool().endpoints.at("vm-2").health.isEjected);
+    now += settings.health.baseEjectionTime;
     const auto before = dispatches.size();
     for (RequestId id = 200; id < 216; ++id)
         arrive(id);
@@ -265,12 +268,12 @@
     BOOST_TEST(probes == 1);
     for (const auto& dispatch : std::vector(dispatches.begin() + std::ptrdiff_t(before), dispatches.end()))
         end(dispatch, Result::Answered);
-    BOOST_TEST(!pool().endpoints.at("vm-2").health.probing);
+    BOOST_TEST(!pool().endpoints.at("vm-2").health.isProbing);
 }
 
-BOOST_FIXTURE_TEST_CASE(addedEndpointStartsSlowly, Fixture)
+BOOST_FIXTURE_TEST_CASE(addedEndpointHasSlowStart, Fixture)
 {
-    usePool({ { "vm-1", 1, 0, true }, { "vm-2", 8, 0, true } });
+    changePool({ { "vm-1", 1, 0, true }, { "vm-2", 8, 0, true } });
     for (RequestId id = 1; id <= 5; ++id)
         arrive(id, 1min);
     BOOST_TEST(pool().endpoints.at("vm-2").inFlight == 1u);
@@ -279,14 +282,15 @@
     BOOST_TEST(pool().endpoints.at("vm-2").inFlight > 1u);
 }
 
-BOOST_FIXTURE_TEST_CASE(spillsToAnotherDataCentreOnlyWhenItPays, Fixture)
+BOOST_FIXTURE_TEST_CASE(spillsToAnotherDataCentreOnlyIfFaster, Fixture)
 {
-    usePool({ { "vm-1", 1, 0, true }, { "vm-far", 8, 0, true, 25ms } });
+    changePool({ { "vm-1", 1, 0, true }, { "vm-far", 8, 0, true, 25ms } });
     now += settings.health.slowStart;
-    measure(10ms);
+    measureServiceTime(10ms);
     for (RequestId id = 1; id <= 3; ++id)
         arrive(id, 10s);
-    BOOST_TEST(pool().counters.spills == 0u); // two wait 20 ms at most
+    // Two queued requests wait 20 ms at most, which is less than the extra latency of 25 ms.
+    BOOST_TEST(pool().counters.spills == 0u);
     arrive(4, 10s);
     BOOST_TEST(pool().counters.spills == 1u);
 }
@@ -314,37 +318,37 @@
     std::map<EndpointId, std::uint32_t> sums;
     const std::vector<EntryVmDemand> live { { "e1", 100 }, { "e2", 50 }, { "e3", 50 } };
     for (const auto& vm : live) {
-        usePool(tenEndpoints());
+        changePool(tenEndpoints());
         decide(state, EntryVmsChanged { "pricing", vm.id, live }, now);
         for (const auto& [id, endpoint] : pool().endpoints)
             sums[id] += endpoint.slots;
     }
     for (const auto& [id, sum] : sums)
         BOOST_TEST(sum == 8u);
-    usePool(tenEndpoints()); // keeps the shares
+    changePool(tenEndpoints()); // an update of the endpoints keeps the shares
     BOOST_TEST(pool().usableSlots < 40u);
 }
 
-BOOST_FIXTURE_TEST_CASE(shareGrowsLateAndShrinksAtOnce, Fixture)
+BOOST_FIXTURE_TEST_CASE(slotShareGrowsAfterDelayAndShrinksAtOnce, Fixture)
 {
-    usePool({ { "vm-1", 8, 0, true } });
-    const auto share = [this](double other) {
-        decide(state, EntryVmsChanged { "pricing", "e1", { { "e1", 100 }, { "e2", other } } }, now);
+    changePool({ { "vm-1", 8, 0, true } });
+    const auto slotsWithDemand = [this](double otherDemand) {
+        decide(state, EntryVmsChanged { "pricing", "e1", { { "e1", 100 }, { "e2", otherDemand } } }, now);
         return pool().usableSlots;
     };
-    BOOST_TEST(share(100) == 4u);
-    BOOST_TEST(share(0) == 4u);
+    BOOST_TEST(slotsWithDemand(100) == 4u);
+    BOOST_TEST(slotsWithDemand(0) == 4u);
     now += 2s;
-    BOOST_TEST(share(0) == 4u);
-    BOOST_TEST(share(110) == 4u); // ends the growth that began
+    BOOST_TEST(slotsWithDemand(0) == 4u);
+    BOOST_TEST(slotsWithDemand(110) == 4u); // cancels the pending growth
     now += 2s;
-    BOOST_TEST(share(0) == 4u);
+    BOOST_TEST(slotsWithDemand(0) == 4u);
     now += settings.shareGrowthDelay;
-    BOOST_TEST(share(0) > 4u);
-    BOOST_TEST(share(100) == 4u);
+    BOOST_TEST(slotsWithDemand(0) > 4u);
+    BOOST_TEST(slotsWithDemand(100) == 4u);
 }
 
-BOOST_FIXTURE_TEST_CASE(smallPoolServesThroughEachEntryVm, Fixture)
+BOOST_FIXTURE_TEST_CASE(eachEntryVmGetsASlotOfASmallPool, Fixture)
 {
     const std::vector<EntryVmDemand> live { { "e1", 1 }, { "e2", 1 }, { "e3", 1 } };
     for (const auto& vm : live) {
@@ -353,7 +357,7 @@
     }
 }
 
-BOOST_FIXTURE_TEST_CASE(loadCountsArrivalsAndFades, Fixture)
+BOOST_FIXTURE_TEST_CASE(arrivalRateIsMeasuredAndDecays, Fixture)
 {
     for (RequestId id = 1; id <= 1000; ++id) {
         now += 10ms;
--- a/src/no_admission.balance/no_admission.cpp
+++ b/src/no_admission.balance/no_admission.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Admission `no_admission`: every request waits, in a queue without limit. A baseline for comparisons.
+/// Admission policy `no_admission`: every request may wait, in a queue without a limit. A baseline for
+/// comparisons.
 #include <damaskworks/registry.h>
 #include <damaskworks/request_policy.h>
 
--- a/src/round_robin.balance/round_robin_balance.cpp
+++ b/src/round_robin.balance/round_robin_balance.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Balancer `round_robin`: endpoints with a free slot in turn. A baseline for comparisons.
+/// Balancer `round_robin`: chooses the endpoints with a free slot in turn. A baseline for comparisons.
 #include <damaskworks/registry.h>
 #include <damaskworks/request_policy.h>
 
