--- a/src/include/damaskworks/budget.h
+++ b/src/include/damaskworks/budget.h
@@ -1,5 +1,5 @@
 /// \file
-/// Availability budgets: who is out of service in a pool, and whether one more VM may be.
+/// Availability budgets: which VMs of a pool are out of service, and whether one more may be.
 #pragma once
 
 #include <damaskworks/names.h>
@@ -12,7 +12,7 @@
 
 namespace damask::budget {
 
-/// Largest number of unavailable VMs in a pool that no budget names.
+/// Limit on VMs out of service in a pool without a budget.
 inline constexpr std::uint32_t defaultMaxUnavailable = 1;
 
 /// Why a VM is out of service.
@@ -24,27 +24,27 @@
     { Reason::Failure, "failure" },
 } };
 
-/// One VM that is out of service: by a permit, or because it failed.
+/// A VM that is out of service, with a permit or because it failed.
 struct Disruption {
     std::string vm;
     Reason reason = Reason::Failure;
-    std::string operation; ///< `wave/<name>` or `move/<pool>`; empty for a plain failure
+    std::string operation; ///< `wave/<name>` or `move/<pool>`; empty for a failure outside of an operation
 
     bool operator==(const Disruption&) const = default;
 };
 
-/// What a permit is decided on.
+/// Input of the decision on a permit.
 struct Usage {
     std::vector<Disruption> disruptions; ///< as in the pool's status row
-    std::set<std::string> notSeenHealthy; ///< members that reports call unavailable or do not mention
+    std::set<std::string> notReportedHealthy; ///< VMs reported as not serving, or without a report
     std::uint32_t maxUnavailable = defaultMaxUnavailable; ///< smallest of the pool's budgets
 };
 
-/// Whether \p vm has an entry.
+/// Whether \p disruptions contains an entry for \p vm.
 bool contains(const std::vector<Disruption>& disruptions, std::string_view vm);
-/// Number of VMs that are out of service or may be.
+/// Number of VMs that are out of service or are not reported healthy.
 std::size_t unavailable(const Usage& usage);
-/// Whether \p vm, which is in service and healthy, may be taken out of service as well.
+/// Whether the budget allows taking \p vm, which is in service and healthy, out of service.
 bool mayDisrupt(const Usage& usage, std::string_view vm);
 
 } // namespace damask::budget
--- a/src/include/damaskworks/maintenance.h
+++ b/src/include/damaskworks/maintenance.h
@@ -1,9 +1,10 @@
 /// \file
-/// Maintenance waves and moves of the VMs of one pool, as a step function over the pool's state.
+/// Maintenance waves and VM moves of one pool, as a step function over the pool's state.
 ///
-/// A step changes the state in place; the caller writes all changed rows in one transaction under
-/// the versions that the state was read at. Everything that has to outlive the holder is in the
-/// state; the watches only hold timers and the commands already sent, and may be lost at any moment.
+/// A step changes the state in place. The caller writes all changed rows in one transaction, on condition
+/// that the rows still have the versions at which it read the state. Everything that must survive a change
+/// of the lease holder is in the state. The trackers only hold timers and the commands already sent, and
+/// may be lost at any time.
 #pragma once
 
 #include <damaskworks/budget.h>
@@ -20,7 +21,7 @@
 
 namespace damask::maintenance {
 
-/// Where a VM is in a wave or a move.
+/// Progress of a VM through a wave or a move.
 enum class Phase { InService, Draining, Rebooting, Verifying, Attaching, Unavailable };
 
 inline constexpr NameTable<Phase, 6> phaseNames { {
@@ -32,7 +33,7 @@
     { Phase::Unavailable, "unavailable" },
 } };
 
-/// Part of the fleet that may fail as one and is therefore maintained together.
+/// Group of VMs that may fail together. A wave prefers groups that it has started over new ones.
 enum class FailureDomain { Rack, DataCentre };
 
 inline constexpr NameTable<FailureDomain, 2> failureDomainNames { {
@@ -40,7 +41,7 @@
     { FailureDomain::DataCentre, "dataCentre" },
 } };
 
-/// What an operator has to know or do.
+/// Status message for the operator.
 struct Condition {
     std::string type;
     std::string message;
@@ -56,16 +57,17 @@
     std::string rack;
     Phase phase = Phase::InService;
     std::string operation; ///< `wave/<name>` or `move/<pool>` while out of service
-    std::string moveTo; ///< pool that it shall move to; empty: none
-    std::uint64_t incarnationBefore = 0; ///< the reboot has to give a higher one
-    std::uint32_t attempt = 0; ///< number of reboots tried in the operation, the present one included
-    std::optional<VmReport> report; ///< nothing: unknown
-    std::uint32_t runningTasks = 0; ///< as the platform reports them
+    std::string moveTo; ///< target pool; empty: none requested
+    std::uint64_t incarnationBefore = 0; ///< a reboot is seen as a higher incarnation
+    std::uint32_t attempt = 0; ///< reboots started in this operation, the current one included
+    std::optional<VmReport> report; ///< unset: state unknown
+    std::uint32_t runningTasks = 0; ///< according to the platform's task reports
 
+    /// Compares the name and the fields of the VM's status row; ignores reports and the specification.
     bool operator==(const Vm& other) const;
 };
 
-/// State of a wave.
+/// Phase of a wave.
 enum class WavePhase { Running, Paused, Stopped, Waiting, Cancelled, Finished };
 
 inline constexpr NameTable<WavePhase, 6> wavePhaseNames { {
@@ -77,23 +79,23 @@
     { WavePhase::Finished, "finished" },
 } };
 
-/// One wave over the pool.
+/// Maintenance wave: reboots every VM of the pool.
 struct Wave {
     std::string name;
     FailureDomain domain = FailureDomain::Rack;
-    std::uint32_t stopAfterFailures = 2;
+    std::uint32_t stopAfterFailures = 2; ///< failed VMs at which the wave stops
     bool isPaused = false;
     bool isCancelled = false;
     WavePhase phase = WavePhase::Running;
-    std::set<std::string> done; ///< VMs seen healthy after their reboot
-    std::set<std::string> failed; ///< VMs whose reboot failed and that were not seen rebooted since
-    std::uint32_t total = 0;
+    std::set<std::string> done; ///< VMs reported healthy after their reboot
+    std::set<std::string> failed; ///< VMs whose reboot failed and has not succeeded since
+    std::uint32_t total = 0; ///< VMs that belong to the wave
     std::vector<Condition> conditions;
 
     bool operator==(const Wave&) const = default;
 };
 
-/// A pool, its VMs, budget and waves.
+/// A pool with its VMs, budget and waves.
 struct Pool {
     std::string name;
     std::vector<Vm> vms;
@@ -101,51 +103,52 @@
     std::vector<budget::Disruption> disruptions;
     std::vector<Condition> conditions;
     std::uint32_t maxUnavailable = budget::defaultMaxUnavailable;
-    std::set<std::string> pools; ///< all pools that a VM can move to
+    std::set<std::string> pools; ///< names of all existing pools
 };
 
-/// Times and limits.
+/// Timeouts, delays and limits.
 struct Settings {
-    Duration rebootTimeout = std::chrono::minutes(5); ///< until the new incarnation is seen
+    Duration rebootTimeout = std::chrono::minutes(5); ///< until a report shows the new incarnation
     Duration verifyTimeout = std::chrono::minutes(1); ///< until the new incarnation is healthy
-    Duration reportLag = std::chrono::seconds(2); ///< oldest report that the platform may show
-    Duration drainNotice
-        = std::chrono::milliseconds(1500); ///< for entry VMs to read of a drain before it begins
-    Duration routeLag = std::chrono::seconds(5); ///< until no entry VM sends work to a draining VM
-    Duration slowNotice = std::chrono::minutes(2); ///< a phase that lasts longer becomes a condition
-    std::uint32_t rebootAttempts = 3;
-    std::uint32_t domainFailureLimit = 2; ///< failures in one rack that stop new permits
+    Duration reportLag = std::chrono::seconds(2); ///< largest age of the platform's reports
+    /// Between the permit and the drain command, so that entry VMs learn of the drain first.
+    Duration drainNotice = std::chrono::milliseconds(1500);
+    /// Until every entry VM has stopped sending requests to a draining VM.
+    Duration routeLag = std::chrono::seconds(5);
+    Duration slowPhaseThreshold = std::chrono::minutes(2); ///< a longer phase is reported as a condition
+    std::uint32_t rebootAttempts = 3; ///< per VM and operation
+    std::uint32_t rackFailureLimit = 2; ///< failed VMs in one rack that block new permits
 };
 
-/// Timers and commands of the present holder for one VM.
-struct Watch {
+/// Timers and sent commands of the current lease holder for one VM.
+struct VmTracker {
     Phase phase = Phase::InService;
     std::uint32_t attempt = 0;
-    TimePoint since {}; ///< when this holder first saw the phase
-    TimePoint notBefore {}; ///< earliest moment for the phase's command
-    std::optional<TimePoint> commandedAt;
+    TimePoint phaseSince {}; ///< when this holder first saw the phase and attempt
+    TimePoint earliestCommandTime {}; ///< not before this time
+    std::optional<TimePoint> commandSentAt; ///< unset: not sent in this phase and attempt
 };
 
-/// Watches of the present holder; starts empty with each holder.
+/// Trackers of the current lease holder, by VM. Each new holder starts with an empty one.
 struct Watches {
-    bool isInherited = true; ///< nothing has been watched yet: commands may already be on their way
-    std::map<std::string, Watch> vms;
+    bool isFirstStep = true; ///< an earlier holder's commands may still be in flight
+    std::map<std::string, VmTracker> vms;
 };
 
-/// A command to send to a VM.
+/// Command to send to a VM.
 struct Command {
     std::string vm;
     VmCommand command = VmCommand::Drain;
 };
 
-/// What a step has to be committed with.
+/// Commands of a step, and what its transaction must be conditional on.
 struct StepResult {
-    std::vector<Command> commands; ///< on the phases as they were before the step
-    bool hasPermits = false; ///< the budgets' rows belong to the conditions
-    std::set<std::string> wavesUsed; ///< waves under which permits were given
+    std::vector<Command> commands; ///< follow from the phases before the step
+    bool hasPermits = false; ///< the transaction must be conditional on the budgets' rows
+    std::set<std::string> wavesUsed; ///< waves that granted permits; also conditions of the transaction
 };
 
-/// Carries the pool on by one step.
-StepResult step(Pool& pool, Watches& watches, const Settings& settings, TimePoint now);
+/// Runs one step: advances VMs, records failures, grants permits and updates the waves.
+StepResult step(Pool& pool, Watches& trackers, const Settings& settings, TimePoint now);
 
 } // namespace damask::maintenance
--- a/src/include/damaskworks/placement.h
+++ b/src/include/damaskworks/placement.h
@@ -1,7 +1,9 @@
 /// \file
-/// Placement of jobs on workers: which job runs where, which must wait and why, which lower work gives
-/// way to urgent work. All decisions are made in memory; the caller writes the changed jobs to the table
-/// and commands a task only after its row has been seen.
+/// Job scheduler: assigns jobs to workers, reports why a job waits and preempts lower-priority jobs for
+/// urgent ones. All functions work in memory. The caller writes the changed jobs to the table and sends a
+/// command for a task only after it has read back the job's row.
+/// CPU is in processors and memory in megabytes. A function that names a job expects it in State::jobs,
+/// except where its comment says otherwise.
 #pragma once
 
 #include <damaskworks/clock.h>
@@ -18,7 +20,7 @@
 
 namespace damask::placement {
 
-/// An amount of what a worker has.
+/// Amounts of the resources that a worker offers or a job needs.
 struct Resources {
     double cpu = 0; ///< processors
     double memoryMb = 0;
@@ -28,10 +30,10 @@
 
 Resources operator+(const Resources& a, const Resources& b);
 Resources operator-(const Resources& a, const Resources& b);
-/// Whether \p demand is within \p room in each respect.
-bool fits(const Resources& demand, const Resources& room);
+/// Whether \p demand is at most \p available in every resource, within a rounding tolerance.
+bool fits(const Resources& demand, const Resources& available);
 
-/// Urgent goes first.
+/// Scheduling priority, highest first. Only urgent jobs preempt others.
 enum class Priority { Urgent, Normal, Low };
 
 inline constexpr NameTable<Priority, 3> priorityNames { {
@@ -52,7 +54,7 @@
     { Phase::Cancelled, "cancelled" },
 } };
 
-/// Why a placed job's task is being ended.
+/// Why the scheduler asked for a placed job's task to stop.
 enum class Ending { None, Cancel, Preempt, Drain, Lost };
 
 inline constexpr NameTable<Ending, 5> endingNames { {
@@ -63,60 +65,60 @@
     { Ending::Lost, "lost" },
 } };
 
-/// A job as declared.
+/// Specification of a job.
 struct JobSpec {
     std::string name;
     std::string pool;
     std::string team;
     Resources declared;
     Priority priority = Priority::Normal;
-    std::uint32_t maxAttempts = 3; ///< failures after which the job has failed
-    std::uint64_t incarnation
-        = 0; ///< differs between two jobs of the same name, one declared after the other
+    std::uint32_t maxAttempts = 3; ///< the job fails permanently after this many failures
+    /// Distinguishes successive jobs of the same name.
+    std::uint64_t incarnation = 0;
     bool cancelled = false;
     bool operator==(const JobSpec&) const = default;
 };
 
-/// What the job's status row holds.
+/// Contents of the job's status row.
 struct Progress {
     Phase phase = Phase::Queued;
     std::string vm;
     std::string task; ///< unique per attempt
-    std::uint64_t epoch = 0; ///< of the lease under which the attempt was placed
+    std::uint64_t epoch = 0; ///< epoch of the lease under which the scheduler placed the attempt
     std::uint32_t attempts = 0;
     Ending ending = Ending::None;
-    std::vector<std::string> failedOn; ///< VM of each failure
-    std::string condition; ///< why it waits or can't run
+    std::vector<std::string> failedOn; ///< VM of each failed attempt
+    std::string condition; ///< why the job waits, stops or cannot run
     bool operator==(const Progress&) const = default;
 };
 
 struct Job {
     JobSpec spec;
     Progress progress;
-    Resources reserved; ///< while placed or running
-    std::uint64_t sequence = 0; ///< order of declaration
+    Resources reserved; ///< non-zero while placed or running
+    std::uint64_t sequence = 0; ///< creation order
 };
 
 struct Worker {
     std::string pool;
     std::string rack;
     Resources capacity;
-    bool accepting = true; ///< takes new jobs
-    bool draining = false; ///< its jobs have to leave it
+    bool accepting = true; ///< accepts new jobs
+    bool draining = false; ///< its jobs must stop and move elsewhere
     Resources used;
-    std::set<std::string> jobs; ///< placed or running here
-    std::set<std::string> blamedJobs; ///< failed here since the last success, and on no other worker
-    TimePoint setAsideUntil {};
+    std::set<std::string> jobs; ///< jobs placed or running on this worker
+    std::set<std::string> jobsFailedOnlyHere; ///< failures since the last success
+    TimePoint setAsideUntil {}; ///< accepts no jobs before this time, after repeated failures
 };
 
-/// Most that a team's jobs may reserve together, and what they do reserve.
+/// A team's resource quota and the sum of its jobs' reservations.
 struct Team {
-    std::optional<Resources> quota; ///< none: no limit
+    std::optional<Resources> quota; ///< unset: no limit
     Resources used;
-    std::set<std::string> waitingPools; ///< pools with jobs that wait for the quota
+    std::set<std::string> waitingPools; ///< pools with jobs that wait for this quota
 };
 
-/// Priority, sequence and name: the order in which a pool's queue is served.
+/// Sort key of a pool's queue: priority, then creation order, then name.
 using QueueKey = std::tuple<Priority, std::uint64_t, std::string>;
 
 struct Pool {
@@ -125,7 +127,7 @@
     std::set<std::string> unschedulable;
 };
 
-/// Use observed of one class of jobs (one team's jobs whose names differ in the number at the end).
+/// Observed resource use of a job class: the jobs of one team whose names differ only in a trailing number.
 struct Estimate {
     Resources peak;
     std::uint32_t samples = 0;
@@ -136,42 +138,44 @@
     std::map<std::string, Team> teams;
     std::map<std::string, Pool> pools;
     std::map<std::string, Job> jobs;
-    std::map<std::string, Estimate> estimates; ///< by class
-    std::set<std::string> dirtyPools; ///< to be looked at by the next pass
-    std::set<std::string> changedJobs; ///< whose progress changed since it was last taken
+    std::map<std::string, Estimate> estimates; ///< by jobClassOf()
+    std::set<std::string> dirtyPools; ///< the next scheduling pass visits these
+    std::set<std::string> changedJobs; ///< progress changed since the last takeChangedJobs()
     std::uint64_t nextSequence = 1;
 };
 
-/// Adds a worker or takes over a change of it.
+/// Adds or updates a worker. Asks its jobs to stop if it is draining.
 void setWorker(State& state, const std::string& vm, const Worker& description);
-/// The worker is gone for good, and all its tasks with it.
+/// Removes a worker that is permanently gone. Its jobs are requeued or cancelled; an unknown VM is ignored.
 void removeWorker(State& state, const std::string& vm);
-/// Sets or lifts a team's quota.
+/// Sets a team's quota, or removes it if \p quota is unset.
 void setQuota(State& state, const std::string& team, const std::optional<Resources>& quota);
-/// Declares a job or takes over a change of its declaration, a cancellation included.
+/// Adds a job or updates its specification, including a cancellation.
 void declare(State& state, const JobSpec& spec);
-/// Drops a job whose declaration was deleted. A task that still runs is the caller's to stop.
+/// Removes a job whose resource was deleted; an unknown job is ignored. The caller stops a task that still
+/// runs.
 void forget(State& state, const std::string& job);
-/// Takes over what the table holds of a job in place of what is in memory.
+/// Replaces a job's progress in memory by the progress read from the table.
 void restore(State& state, const std::string& job, const Progress& progress);
 
-/// Takes in a report; reports of earlier attempts change nothing.
+/// Applies a task report. Ignores reports of unknown jobs and of earlier attempts.
 void observe(State& state, const TaskReport& report, TimePoint now);
-/// Begins to end a task: it counts as running until a report says that it ended.
+/// Asks for a job's task to stop. The job keeps its resources until a report shows that the task stopped.
 void beginEnding(State& state, const std::string& job, Ending ending);
 
-/// Places what can be placed in the pools that changed; attempts carry \p epoch.
+/// Runs a scheduling pass: places queued jobs in the pools that changed since the last pass. New attempts
+/// carry \p epoch, the epoch of the caller's lease.
 void pass(State& state, std::uint64_t epoch, TimePoint now);
-/// Jobs whose progress changed since the last call.
+/// Returns the jobs whose progress changed since the last call.
 std::set<std::string> takeChanged(State& state);
 
-/// Name of the class whose estimate applies to the job.
-std::string classOf(const JobSpec& spec);
-/// What to reserve for a job: the declared size, corrected by what its class was seen to use.
-Resources expectedUse(const State& state, const JobSpec& spec);
-/// Whether the phase is one that never changes again.
+/// Key in State::estimates of the job's class: team and name without trailing digits and hyphens.
+std::string jobClassOf(const JobSpec& spec);
+/// Resources to reserve for a job: the declared size, corrected by the observed use of its class.
+Resources estimatedSize(const State& state, const JobSpec& spec);
+/// Whether the phase is terminal.
 bool isFinal(Phase phase);
-/// Whether the job holds resources of a worker.
+/// Whether a job in this phase holds resources of a worker.
 bool holdsWorker(Phase phase);
 
 } // namespace damask::placement
--- a/src/libkernel/budget.cpp
+++ b/src/libkernel/budget.cpp
@@ -12,7 +12,7 @@
 
 std::size_t unavailable(const Usage& usage)
 {
-    auto vms = usage.notSeenHealthy;
+    auto vms = usage.notReportedHealthy;
     for (const auto& entry : usage.disruptions)
         vms.insert(entry.vm);
     return vms.size();
@@ -20,7 +20,7 @@
 
 bool mayDisrupt(const Usage& usage, std::string_view vm)
 {
-    if (contains(usage.disruptions, vm) || usage.notSeenHealthy.contains(std::string(vm)))
+    if (contains(usage.disruptions, vm) || usage.notReportedHealthy.contains(std::string(vm)))
         return false;
     return unavailable(usage) + 1 <= usage.maxUnavailable;
 }
--- a/src/libkernel/maintenance.cpp
+++ b/src/libkernel/maintenance.cpp
@@ -5,7 +5,7 @@
 namespace damask::maintenance {
 namespace {
 
-bool isEmptied(const Vm& vm)
+bool isDrained(const Vm& vm)
 {
     return vm.report && vm.report->reachable && vm.report->draining && vm.report->runningRequests == 0
         && vm.report->runningTasks == 0 && vm.runningTasks == 0;
@@ -16,8 +16,8 @@
     std::erase_if(pool.disruptions, [vm](const auto& entry) { return entry.vm == vm; });
 }
 
-/// Puts the VM back into service; its permit ends in the same transaction.
-void release(Pool& pool, Vm& vm)
+/// Returns the VM to service. The same transaction removes its permit.
+void returnToService(Pool& pool, Vm& vm)
 {
     if (auto* wave = findWave(pool, vm.operation);
         wave && vm.report && vm.report->incarnation > vm.incarnationBefore && vm.attempt > 0) {
@@ -31,15 +31,16 @@
     removeDisruption(pool, vm.name);
 }
 
-void beginReboot(Vm& vm)
+void startReboot(Vm& vm)
 {
     vm.phase = Phase::Rebooting;
     vm.incarnationBefore = vm.report->incarnation;
     ++vm.attempt;
 }
 
-/// Tries the reboot again, or gives the VM up until it is seen healthy.
-void retryOrFail(Pool& pool, Vm& vm, const Settings& settings)
+/// Retries the reboot. After the last attempt, enters Phase::Unavailable until a report shows the VM
+/// healthy.
+void retryRebootOrFail(Pool& pool, Vm& vm, const Settings& settings)
 {
     if (vm.attempt < settings.rebootAttempts) {
         if (vm.report)
@@ -58,21 +59,23 @@
 }
 
 /// Sends the phase's command once per holder, phase and attempt.
-void command(const Vm& vm, VmCommand what, Watch& watch, TimePoint now, StepResult& result)
+void sendCommandOnce(const Vm& vm, VmCommand command, VmTracker& tracker, TimePoint now, StepResult& result)
 {
-    if (watch.commandedAt || now < watch.notBefore)
+    if (tracker.commandSentAt || now < tracker.earliestCommandTime)
         return;
-    watch.commandedAt = now;
-    result.commands.push_back({ vm.name, what });
+    tracker.commandSentAt = now;
+    result.commands.push_back({ vm.name, command });
 }
 
-/// Whether reports can only show what came after the phase's command.
-bool isSettled(const Watch& watch, const Settings& settings, TimePoint now)
+/// Whether all reports now show the VM's state after the phase's command, or after the start of the phase
+/// if no command was sent.
+bool areReportsCurrent(const VmTracker& tracker, const Settings& settings, TimePoint now)
 {
-    return now >= watch.commandedAt.value_or(watch.since) + settings.reportLag;
+    return now >= tracker.commandSentAt.value_or(tracker.phaseSince) + settings.reportLag;
 }
 
-bool isAbandoned(Pool& pool, const Vm& vm)
+/// Whether the operation is cancelled, or its wave or target pool no longer exists.
+bool isOperationCancelled(Pool& pool, const Vm& vm)
 {
     if (vm.operation.starts_with(movePrefix))
         return vm.operation != std::string(movePrefix) + vm.moveTo || !pool.pools.contains(vm.moveTo);
@@ -80,21 +83,23 @@
     return !wave || wave->isCancelled;
 }
 
-void drain(Pool& pool, Vm& vm, Watch& watch, const Settings& settings, TimePoint now, StepResult& result)
+void drain(
+    Pool& pool, Vm& vm, VmTracker& tracker, const Settings& settings, TimePoint now, StepResult& result)
 {
-    // The permit's transaction may have waited longer on its way than the reports that it rests on are
-    // good for. Before anything is done to the VM, they are looked at again.
-    const bool isOverBudget = !watch.commandedAt && budget::unavailable(usageOf(pool)) > pool.maxUnavailable;
-    if (isOverBudget || isAbandoned(pool, vm)) {
+    // The permit's transaction may have been delayed until its reports were out of date. So the budget is
+    // checked again before the first command to the VM.
+    const bool isOverBudget
+        = !tracker.commandSentAt && budget::unavailable(budgetUsage(pool)) > pool.maxUnavailable;
+    if (isOverBudget || isOperationCancelled(pool, vm)) {
         vm.phase = Phase::Attaching;
         return;
     }
-    if (isEmptied(vm) && watch.commandedAt) {
+    if (isDrained(vm) && tracker.commandSentAt) {
         if (!vm.operation.starts_with(movePrefix)) {
-            beginReboot(vm);
+            startReboot(vm);
             return;
         }
-        if (now - watch.since < settings.routeLag)
+        if (now - tracker.phaseSince < settings.routeLag)
             return;
         vm.pool = vm.moveTo;
         vm.moveTo.clear();
@@ -103,69 +108,73 @@
         removeDisruption(pool, vm.name);
         return;
     }
-    // A VM that restarts while draining forgets the command.
-    if (watch.commandedAt && isSettled(watch, settings, now) && vm.report && !vm.report->draining)
-        watch.commandedAt.reset();
-    command(vm, VmCommand::Drain, watch, now, result);
+    // A VM that restarts while draining loses the command, so it is sent again.
+    if (tracker.commandSentAt && areReportsCurrent(tracker, settings, now) && vm.report
+        && !vm.report->draining)
+        tracker.commandSentAt.reset();
+    sendCommandOnce(vm, VmCommand::Drain, tracker, now, result);
 }
 
-void reboot(Pool& pool, Vm& vm, Watch& watch, const Settings& settings, TimePoint now, StepResult& result)
+void reboot(
+    Pool& pool, Vm& vm, VmTracker& tracker, const Settings& settings, TimePoint now, StepResult& result)
 {
     const bool isRebooted = vm.report && vm.report->incarnation > vm.incarnationBefore;
     if (!isRebooted) {
-        command(vm, VmCommand::Reboot, watch, now, result);
-        if (now - watch.since >= settings.rebootTimeout)
-            retryOrFail(pool, vm, settings);
+        sendCommandOnce(vm, VmCommand::Reboot, tracker, now, result);
+        if (now - tracker.phaseSince >= settings.rebootTimeout)
+            retryRebootOrFail(pool, vm, settings);
         return;
     }
-    if (!isSettled(watch, settings, now))
+    if (!areReportsCurrent(tracker, settings, now))
         return;
     if (isServing(vm))
-        release(pool, vm);
+        returnToService(pool, vm);
     else
         vm.phase = Phase::Verifying;
 }
 
-void verify(Pool& pool, Vm& vm, Watch& watch, const Settings& settings, TimePoint now)
+void verify(Pool& pool, Vm& vm, VmTracker& tracker, const Settings& settings, TimePoint now)
 {
     if (isServing(vm))
-        release(pool, vm);
-    else if (now - watch.since >= settings.verifyTimeout)
-        retryOrFail(pool, vm, settings);
+        returnToService(pool, vm);
+    else if (now - tracker.phaseSince >= settings.verifyTimeout)
+        retryRebootOrFail(pool, vm, settings);
 }
 
-void attach(Pool& pool, Vm& vm, Watch& watch, const Settings& settings, TimePoint now, StepResult& result)
+void attach(
+    Pool& pool, Vm& vm, VmTracker& tracker, const Settings& settings, TimePoint now, StepResult& result)
 {
-    command(vm, VmCommand::Attach, watch, now, result);
-    if (!watch.commandedAt || !isSettled(watch, settings, now))
+    sendCommandOnce(vm, VmCommand::Attach, tracker, now, result);
+    if (!tracker.commandSentAt || !areReportsCurrent(tracker, settings, now))
         return;
     if (isServing(vm))
-        release(pool, vm);
+        returnToService(pool, vm);
     else if (vm.report && vm.report->draining)
-        watch.commandedAt.reset();
+        tracker.commandSentAt.reset();
 }
 
-void noteSlowness(Pool& pool, const Vm& vm, const Watch& watch, const Settings& settings, TimePoint now)
+void reportSlowPhase(
+    Pool& pool, const Vm& vm, const VmTracker& tracker, const Settings& settings, TimePoint now)
 {
-    if (vm.phase == Phase::InService || now - watch.since < settings.slowNotice)
+    if (vm.phase == Phase::InService || now - tracker.phaseSince < settings.slowPhaseThreshold)
         return;
     pool.conditions.push_back({ "Slow",
-        "VM " + vm.name + " is not done with phase " + std::string(nameOf(phaseNames, vm.phase))
-            + (vm.report && vm.report->reachable ? "" : ": it can't be reached") });
+        "VM " + vm.name + " is still in phase " + std::string(nameOf(phaseNames, vm.phase))
+            + (vm.report && vm.report->reachable ? "" : ": the VM is unreachable") });
 }
 
-Watch& watchFor(Watches& watches, const Vm& vm, const Settings& settings, TimePoint now)
+VmTracker& trackerFor(Watches& trackers, const Vm& vm, const Settings& settings, TimePoint now)
 {
-    auto [found, isNew] = watches.vms.try_emplace(vm.name);
-    auto& watch = found->second;
-    if (!isNew && watch.phase == vm.phase && watch.attempt == vm.attempt)
-        return watch;
-    watch = { vm.phase, vm.attempt, now, now, std::nullopt };
+    auto [found, isNew] = trackers.vms.try_emplace(vm.name);
+    auto& tracker = found->second;
+    if (!isNew && tracker.phase == vm.phase && tracker.attempt == vm.attempt)
+        return tracker;
+    tracker = { vm.phase, vm.attempt, now, now, std::nullopt };
     if (vm.phase == Phase::Draining)
-        watch.notBefore = now + settings.drainNotice;
-    if (watches.isInherited)
-        watch.notBefore = std::max(watch.notBefore, now + settings.reportLag);
-    return watch;
+        tracker.earliestCommandTime = now + settings.drainNotice;
+    if (trackers.isFirstStep)
+        tracker.earliestCommandTime = std::max(tracker.earliestCommandTime, now + settings.reportLag);
+    return tracker;
 }
 
 } // namespace
@@ -191,47 +200,48 @@
     return found == pool.waves.end() ? nullptr : &*found;
 }
 
-void advanceVms(Pool& pool, Watches& watches, const Settings& settings, TimePoint now, StepResult& result)
+void advanceVms(Pool& pool, Watches& trackers, const Settings& settings, TimePoint now, StepResult& result)
 {
     for (auto& vm : pool.vms) {
-        auto& watch = watchFor(watches, vm, settings, now);
-        noteSlowness(pool, vm, watch, settings, now);
+        auto& tracker = trackerFor(trackers, vm, settings, now);
+        reportSlowPhase(pool, vm, tracker, settings, now);
         switch (vm.phase) {
         case Phase::InService:
-            // Left over from a holder that lost its lease with the command on its way.
+            // A previous holder lost its lease while its drain command was in flight: undo the drain.
             if (vm.report && vm.report->draining)
-                command(vm, VmCommand::Attach, watch, now, result);
+                sendCommandOnce(vm, VmCommand::Attach, tracker, now, result);
             else
-                watch.commandedAt.reset();
+                tracker.commandSentAt.reset();
             continue;
         case Phase::Draining:
-            drain(pool, vm, watch, settings, now, result);
+            drain(pool, vm, tracker, settings, now, result);
             continue;
         case Phase::Rebooting:
-            reboot(pool, vm, watch, settings, now, result);
+            reboot(pool, vm, tracker, settings, now, result);
             continue;
         case Phase::Verifying:
-            verify(pool, vm, watch, settings, now);
+            verify(pool, vm, tracker, settings, now);
             continue;
         case Phase::Attaching:
-            attach(pool, vm, watch, settings, now, result);
+            attach(pool, vm, tracker, settings, now, result);
             continue;
         case Phase::Unavailable:
-            if (vm.report && vm.report->reachable && vm.report->healthy && isSettled(watch, settings, now))
+            if (vm.report && vm.report->reachable && vm.report->healthy
+                && areReportsCurrent(tracker, settings, now))
                 vm.phase = Phase::Attaching;
             continue;
         }
     }
-    watches.isInherited = false;
+    trackers.isFirstStep = false;
 }
 
-StepResult step(Pool& pool, Watches& watches, const Settings& settings, TimePoint now)
+StepResult step(Pool& pool, Watches& trackers, const Settings& settings, TimePoint now)
 {
     StepResult result;
     pool.conditions.clear();
-    advanceVms(pool, watches, settings, now, result);
-    updateFailures(pool);
-    givePermits(pool, settings, result);
+    advanceVms(pool, trackers, settings, now, result);
+    updateFailureEntries(pool);
+    grantPermits(pool, settings, result);
     updateWaves(pool);
     return result;
 }
--- a/src/libkernel/maintenance_permits.cpp
+++ b/src/libkernel/maintenance_permits.cpp
@@ -10,21 +10,21 @@
     return domain == FailureDomain::Rack ? vm.rack : vm.dataCentre;
 }
 
-/// The rack in which so many VMs have failed that they may have one cause; empty: none.
-std::string failedRack(const Pool& pool, const Settings& settings)
+/// A rack with so many failed VMs that a common cause is likely; empty: none.
+std::string rackWithCorrelatedFailures(const Pool& pool, const Settings& settings)
 {
     std::map<std::string, std::uint32_t> failures;
     for (const auto& vm : pool.vms) {
         for (const auto& entry : pool.disruptions) {
             if (entry.vm == vm.name && entry.reason == budget::Reason::Failure
-                && ++failures[vm.rack] >= settings.domainFailureLimit)
+                && ++failures[vm.rack] >= settings.rackFailureLimit)
                 return vm.rack;
         }
     }
     return {};
 }
 
-void permit(Pool& pool, Vm& vm, budget::Reason reason, const std::string& operation, StepResult& result)
+void grantPermit(Pool& pool, Vm& vm, budget::Reason reason, const std::string& operation, StepResult& result)
 {
     pool.disruptions.push_back({ vm.name, reason, operation });
     vm.phase = Phase::Draining;
@@ -32,59 +32,59 @@
     result.hasPermits = true;
 }
 
-void permitMoves(Pool& pool, StepResult& result)
+void grantMovePermits(Pool& pool, StepResult& result)
 {
     for (auto& vm : pool.vms) {
         if (vm.phase != Phase::InService || vm.moveTo.empty() || vm.moveTo == pool.name
             || vm.pool != pool.name)
             continue;
         if (!pool.pools.contains(vm.moveTo)) {
-            pool.conditions.push_back(
-                { "MoveImpossible", "VM " + vm.name + " can't move: no pool " + vm.moveTo });
+            pool.conditions.push_back({ "MoveImpossible",
+                "VM " + vm.name + " cannot move: pool " + vm.moveTo + " does not exist" });
             continue;
         }
-        if (budget::mayDisrupt(usageOf(pool), vm.name))
-            permit(pool, vm, budget::Reason::Move, std::string(movePrefix) + vm.moveTo, result);
+        if (budget::mayDisrupt(budgetUsage(pool), vm.name))
+            grantPermit(pool, vm, budget::Reason::Move, std::string(movePrefix) + vm.moveTo, result);
     }
 }
 
-bool isCandidate(const Pool& pool, const Vm& vm, const Wave& wave)
+bool isWaveCandidate(const Pool& pool, const Vm& vm, const Wave& wave)
 {
     return vm.pool == pool.name && vm.phase == Phase::InService && vm.moveTo.empty()
         && !wave.done.contains(vm.name) && !wave.failed.contains(vm.name) && isServing(vm);
 }
 
-/// VMs that may come next: those of domains that are already being maintained first, so that few
-/// domains are touched at a time.
-std::vector<Vm*> candidates(Pool& pool, const Wave& wave)
+/// VMs that the wave may reboot next. VMs of domains that the wave has started come first, so that it
+/// affects few domains at a time.
+std::vector<Vm*> waveCandidates(Pool& pool, const Wave& wave)
 {
-    std::set<std::string> begun;
+    std::set<std::string> startedDomains;
     for (const auto& vm : pool.vms) {
         if (wave.done.contains(vm.name) || findWave(pool, vm.operation) == &wave)
-            begun.insert(domainOf(vm, wave.domain));
+            startedDomains.insert(domainOf(vm, wave.domain));
     }
     std::vector<Vm*> out;
     for (auto& vm : pool.vms) {
-        if (isCandidate(pool, vm, wave))
+        if (isWaveCandidate(pool, vm, wave))
             out.push_back(&vm);
     }
     const auto order = [&](const Vm* vm) {
         const auto& domain = domainOf(*vm, wave.domain);
-        return std::tuple(!begun.contains(domain), domain, vm->name);
+        return std::tuple(!startedDomains.contains(domain), domain, vm->name);
     };
     std::sort(out.begin(), out.end(), [&](auto* a, auto* b) { return order(a) < order(b); });
     return out;
 }
 
-void permitWave(Pool& pool, Wave& wave, StepResult& result)
+void grantWavePermits(Pool& pool, Wave& wave, StepResult& result)
 {
-    const bool isOver = wave.phase == WavePhase::Finished || wave.isCancelled || wave.isPaused;
-    if (isOver || wave.failed.size() >= wave.stopAfterFailures)
+    const bool isInactive = wave.phase == WavePhase::Finished || wave.isCancelled || wave.isPaused;
+    if (isInactive || wave.failed.size() >= wave.stopAfterFailures)
         return;
-    for (auto* vm : candidates(pool, wave)) {
-        if (!budget::mayDisrupt(usageOf(pool), vm->name))
+    for (auto* vm : waveCandidates(pool, wave)) {
+        if (!budget::mayDisrupt(budgetUsage(pool), vm->name))
             return;
-        permit(pool, *vm, budget::Reason::Wave, std::string(wavePrefix) + wave.name, result);
+        grantPermit(pool, *vm, budget::Reason::Wave, std::string(wavePrefix) + wave.name, result);
         result.wavesUsed.insert(wave.name);
     }
 }
@@ -97,8 +97,8 @@
     return out;
 }
 
-/// VMs of the wave that are neither done nor being worked on.
-std::vector<std::string> remaining(const Pool& pool, const Wave& wave)
+/// VMs that the wave has neither finished nor started.
+std::vector<std::string> remainingVms(const Pool& pool, const Wave& wave)
 {
     std::vector<std::string> out;
     for (const auto& vm : pool.vms) {
@@ -109,7 +109,8 @@
     return out;
 }
 
-std::vector<std::string> active(const Pool& pool, const Wave& wave)
+/// VMs that the wave is draining, rebooting, verifying or attaching.
+std::vector<std::string> vmsInProgress(const Pool& pool, const Wave& wave)
 {
     std::vector<std::string> out;
     for (const auto& vm : pool.vms) {
@@ -119,68 +120,69 @@
     return out;
 }
 
-std::string blockers(const Pool& pool)
+/// VMs that use up the budget, each with the reason.
+std::string describeBlockers(const Pool& pool)
 {
     std::vector<std::string> names;
     for (const auto& entry : pool.disruptions)
         names.push_back(entry.vm + " (" + std::string(nameOf(budget::reasonNames, entry.reason)) + ")");
-    for (const auto& name : usageOf(pool).notSeenHealthy)
-        names.push_back(name + " (not seen healthy)");
+    for (const auto& name : budgetUsage(pool).notReportedHealthy)
+        names.push_back(name + " (not reported healthy)");
     return join(names);
 }
 
-std::string count(std::size_t number) { return std::to_string(number); }
+std::string numberText(std::size_t number) { return std::to_string(number); }
 
 void updateWave(Pool& pool, Wave& wave)
 {
     if (wave.phase == WavePhase::Finished)
         return;
     wave.conditions.clear();
-    const auto left = remaining(pool, wave);
-    const auto working = active(pool, wave);
-    wave.total
-        = static_cast<std::uint32_t>(wave.done.size() + wave.failed.size() + left.size() + working.size());
+    const auto remaining = remainingVms(pool, wave);
+    const auto inProgress = vmsInProgress(pool, wave);
+    wave.total = static_cast<std::uint32_t>(
+        wave.done.size() + wave.failed.size() + remaining.size() + inProgress.size());
     const std::vector<std::string> failed(wave.failed.begin(), wave.failed.end());
     if (!failed.empty())
         wave.conditions.push_back({ "RebootFailed", "reboots failed: " + join(failed) });
     if (wave.isCancelled) {
-        wave.phase = working.empty() ? WavePhase::Cancelled : WavePhase::Running;
+        wave.phase = inProgress.empty() ? WavePhase::Cancelled : WavePhase::Running;
         return;
     }
-    if (left.empty() && working.empty()) {
+    if (remaining.empty() && inProgress.empty()) {
         wave.phase = WavePhase::Finished;
         return;
     }
     if (wave.failed.size() >= wave.stopAfterFailures) {
         wave.phase = WavePhase::Stopped;
         wave.conditions.push_back({ "Stopped",
-            count(failed.size()) + " reboots failed; repair these VMs, or raise stopAfterFailures" });
+            numberText(failed.size()) + " reboots failed; repair these VMs, or raise stopAfterFailures" });
         return;
     }
     if (wave.isPaused) {
         wave.phase = WavePhase::Paused;
         return;
     }
-    wave.phase = working.empty() ? WavePhase::Waiting : WavePhase::Running;
+    wave.phase = inProgress.empty() ? WavePhase::Waiting : WavePhase::Running;
     if (wave.phase == WavePhase::Waiting)
         wave.conditions.push_back({ "BudgetExhausted",
-            "at most " + count(pool.maxUnavailable)
-                + " VMs may be unavailable; needs healthy: " + blockers(pool) + "; left: " + join(left) });
+            "at most " + numberText(pool.maxUnavailable) + " VMs may be unavailable; out of service: "
+                + describeBlockers(pool) + "; remaining: " + join(remaining) });
 }
 
 } // namespace
 
-budget::Usage usageOf(const Pool& pool)
+budget::Usage budgetUsage(const Pool& pool)
 {
     budget::Usage usage { pool.disruptions, {}, pool.maxUnavailable };
     for (const auto& vm : pool.vms) {
         if (vm.pool == pool.name && vm.phase == Phase::InService && !isServing(vm))
-            usage.notSeenHealthy.insert(vm.name);
+            usage.notReportedHealthy.insert(vm.name);
     }
     return usage;
 }
 
-void updateFailures(Pool& pool)
+void updateFailureEntries(Pool& pool)
 {
     std::erase_if(pool.disruptions, [&pool](const auto& entry) {
         const auto vm = std::find_if(
@@ -197,16 +199,16 @@
     }
 }
 
-void givePermits(Pool& pool, const Settings& settings, StepResult& result)
+void grantPermits(Pool& pool, const Settings& settings, StepResult& result)
 {
-    if (const auto rack = failedRack(pool, settings); !rack.empty()) {
+    if (const auto rack = rackWithCorrelatedFailures(pool, settings); !rack.empty()) {
         pool.conditions.push_back(
             { "CorrelatedFailures", "several VMs of rack " + rack + " have failed; no new permits" });
         return;
     }
-    permitMoves(pool, result);
+    grantMovePermits(pool, result);
     for (auto& wave : pool.waves)
-        permitWave(pool, wave, result);
+        grantWavePermits(pool, wave, result);
 }
 
 void updateWaves(Pool& pool)
--- a/src/libkernel/maintenance_pvt.h
+++ b/src/libkernel/maintenance_pvt.h
@@ -1,5 +1,5 @@
 /// \file
-/// Parts of the maintenance step.
+/// Internal parts of the maintenance step.
 #pragma once
 
 #include <damaskworks/maintenance.h>
@@ -9,18 +9,18 @@
 inline constexpr std::string_view wavePrefix = "wave/";
 inline constexpr std::string_view movePrefix = "move/";
 
-/// Whether the latest report shows the VM serving.
+/// Whether the latest report shows the VM as reachable, healthy and not draining.
 bool isServing(const Vm& vm);
-/// What permits are decided on, from the rows and the latest reports.
-budget::Usage usageOf(const Pool& pool);
-/// The wave of that operation, or nullptr.
+/// The pool's budget usage according to its rows and the latest reports.
+budget::Usage budgetUsage(const Pool& pool);
+/// The wave that \p operation (`wave/<name>`) names, or nullptr.
 Wave* findWave(Pool& pool, std::string_view operation);
-/// Brings each VM that is out of service one step further.
-void advanceVms(Pool& pool, Watches& watches, const Settings& settings, TimePoint now, StepResult& result);
-/// Enters failures and removes the entries of VMs that are healthy again or have left the pool.
-void updateFailures(Pool& pool);
-/// Gives permits as far as the budget allows.
-void givePermits(Pool& pool, const Settings& settings, StepResult& result);
+/// Advances the phase of each VM that is out of service, and adds the commands to send to \p result.
+void advanceVms(Pool& pool, Watches& trackers, const Settings& settings, TimePoint now, StepResult& result);
+/// Adds a disruption for each failed VM. Removes those of VMs that are healthy again or left the pool.
+void updateFailureEntries(Pool& pool);
+/// Grants permits for moves and waves, as far as the budget allows.
+void grantPermits(Pool& pool, const Settings& settings, StepResult& result);
 /// Updates the waves' phases, counts and conditions.
 void updateWaves(Pool& pool);
 
--- a/src/libkernel/placement.cpp
+++ b/src/libkernel/placement.cpp
@@ -5,14 +5,14 @@
 namespace damask::placement {
 namespace {
 
-/// Reports of ended tasks after which a class's observed use corrects the declared size.
-constexpr std::uint32_t minSamples = 3;
-/// Room above the highest use seen.
+/// Number of successful tasks of a class before their observed use corrects the declared size.
+constexpr std::uint32_t minEstimateSamples = 3;
+/// Factor of safety over the highest observed use.
 constexpr double estimateMargin = 1.2;
-/// The observed use corrects the declared size at most by this factor either way.
+/// Largest factor by which observed use raises or lowers the declared size.
 constexpr double maxCorrection = 4;
 
-double corrected(double declared, double peak)
+double correctedSize(double declared, double peak)
 {
     return std::clamp(peak * estimateMargin, declared / maxCorrection, declared * maxCorrection);
 }
@@ -29,11 +29,12 @@
     return { a.cpu - b.cpu, a.memoryMb - b.memoryMb, a.accelerators - b.accelerators };
 }
 
-bool fits(const Resources& demand, const Resources& room)
+bool fits(const Resources& demand, const Resources& available)
 {
-    constexpr double rounding = 1e-6;
-    return demand.cpu <= room.cpu + rounding && demand.memoryMb <= room.memoryMb + rounding
-        && demand.accelerators <= room.accelerators + rounding;
+    constexpr double roundingTolerance = 1e-6;
+    return demand.cpu <= available.cpu + roundingTolerance
+        && demand.memoryMb <= available.memoryMb + roundingTolerance
+        && demand.accelerators <= available.accelerators + roundingTolerance;
 }
 
 bool isFinal(Phase phase)
@@ -43,19 +44,19 @@
 
 bool holdsWorker(Phase phase) { return phase == Phase::Placed || phase == Phase::Running; }
 
-std::string classOf(const JobSpec& spec)
+std::string jobClassOf(const JobSpec& spec)
 {
     const auto end = spec.name.find_last_not_of("0123456789-");
     return spec.team + "/" + spec.name.substr(0, end + 1);
 }
 
-Resources expectedUse(const State& state, const JobSpec& spec)
+Resources estimatedSize(const State& state, const JobSpec& spec)
 {
-    const auto found = state.estimates.find(classOf(spec));
-    if (found == state.estimates.end() || found->second.samples < minSamples)
+    const auto found = state.estimates.find(jobClassOf(spec));
+    if (found == state.estimates.end() || found->second.samples < minEstimateSamples)
         return spec.declared;
     const auto& peak = found->second.peak;
-    return { corrected(spec.declared.cpu, peak.cpu), corrected(spec.declared.memoryMb, peak.memoryMb),
+    return { correctedSize(spec.declared.cpu, peak.cpu), correctedSize(spec.declared.memoryMb, peak.memoryMb),
         spec.declared.accelerators };
 }
 
@@ -97,7 +98,7 @@
     job.reserved = {};
 }
 
-void endWithoutResult(State& state, Job& job)
+void requeueOrCancel(State& state, Job& job)
 {
     release(state, job);
     const bool isCancelled = job.progress.ending == Ending::Cancel || job.spec.cancelled;
@@ -110,7 +111,7 @@
         enqueue(state, job);
 }
 
-void reconsider(State& state, const std::string& name)
+void markPoolDirty(State& state, const std::string& name)
 {
     auto& pool = state.pools[name];
     for (const auto& jobName : std::exchange(pool.unschedulable, {})) {
@@ -137,7 +138,7 @@
     worker.accepting = description.accepting;
     worker.draining = description.draining;
     state.pools[worker.pool].workers.insert(vm);
-    reconsider(state, worker.pool);
+    markPoolDirty(state, worker.pool);
     if (!worker.draining)
         return;
     const auto jobs = worker.jobs;
@@ -152,9 +153,9 @@
         return;
     const auto jobs = found->second.jobs;
     for (const auto& job : jobs)
-        endWithoutResult(state, state.jobs.at(job));
+        requeueOrCancel(state, state.jobs.at(job));
     state.pools[found->second.pool].workers.erase(vm);
-    reconsider(state, found->second.pool);
+    markPoolDirty(state, found->second.pool);
     state.workers.erase(found);
 }
 
@@ -165,7 +166,7 @@
         return;
     team.quota = quota;
     for (auto& [pool, content] : state.pools)
-        reconsider(state, pool);
+        markPoolDirty(state, pool);
 }
 
 void declare(State& state, const JobSpec& spec)
@@ -178,18 +179,18 @@
         job.sequence = state.nextSequence++;
     else
         dequeue(state, job);
-    const bool holds = holdsWorker(job.progress.phase);
+    const bool holdsResources = holdsWorker(job.progress.phase);
     const auto reserved = job.reserved;
-    if (holds)
+    if (holdsResources)
         release(state, job);
     job.spec = spec;
-    if (holds)
+    if (holdsResources)
         reserve(state, job, reserved);
     if (isFinal(job.progress.phase))
         return;
-    if (spec.cancelled && holds)
+    if (spec.cancelled && holdsResources)
         return beginEnding(state, spec.name, Ending::Cancel);
-    if (holds)
+    if (holdsResources)
         return;
     job.progress.phase = spec.cancelled ? Phase::Cancelled : Phase::Queued;
     job.progress.condition.clear();
@@ -219,7 +220,7 @@
     job.progress = progress;
     state.changedJobs.erase(name);
     if (holdsWorker(progress.phase)) {
-        reserve(state, job, expectedUse(state, job.spec));
+        reserve(state, job, estimatedSize(state, job.spec));
         if (job.spec.cancelled)
             beginEnding(state, name, Ending::Cancel);
         return;
@@ -231,7 +232,7 @@
         state.changedJobs.insert(name);
         return;
     }
-    // An unschedulable job is looked at once more; its row changes only if the answer does.
+    // The next pass checks an unschedulable job again. Its row changes only if the result differs.
     enqueue(state, job);
 }
 
--- a/src/libkernel/placement_pass.cpp
+++ b/src/libkernel/placement_pass.cpp
@@ -5,33 +5,33 @@
 namespace damask::placement {
 namespace {
 
-/// A worker of the pool, looked up once a pass.
+/// A worker of the pool, looked up once per pass.
 struct Candidate {
     const std::string* vm = nullptr;
     const Worker* worker = nullptr;
     const std::size_t* jobsInRack = nullptr;
-    Resources promised; ///< to urgent jobs that wait for lower work to end
+    Resources reservedForPreemption; ///< for urgent jobs that wait for preempted tasks to stop
 };
 
-/// What one pass over one pool works with.
-struct Pass {
+/// Context of one scheduling pass over one pool.
+struct SchedulingPass {
     State& state;
     Pool& pool;
     std::uint64_t epoch;
     TimePoint now;
     std::vector<Candidate> candidates;
     std::map<std::string, std::size_t> jobsByRack;
-    std::vector<Resources> tooLarge; ///< sizes that found no room in this pass
+    std::vector<Resources> sizesThatDidNotFit; ///< sizes that fitted on no worker in this pass
 };
 
-bool isAvailable(const Worker& worker, TimePoint now)
+bool acceptsJobs(const Worker& worker, TimePoint now)
 {
     return worker.accepting && worker.setAsideUntil <= now;
 }
 
-Resources room(const Candidate& candidate)
+Resources freeCapacity(const Candidate& candidate)
 {
-    return candidate.worker->capacity - candidate.worker->used - candidate.promised;
+    return candidate.worker->capacity - candidate.worker->used - candidate.reservedForPreemption;
 }
 
 bool failedOn(const Job& job, const std::string& vm)
@@ -40,7 +40,7 @@
     return std::find(failures.begin(), failures.end(), vm) != failures.end();
 }
 
-void setWaiting(State& state, Job& job, Phase phase, const std::string& condition)
+void setPhaseAndCondition(State& state, Job& job, Phase phase, const std::string& condition)
 {
     if (job.progress.phase == phase && job.progress.condition == condition)
         return;
@@ -49,8 +49,8 @@
     state.changedJobs.insert(job.spec.name);
 }
 
-/// Why the job can never run as things are, or nothing.
-std::optional<std::string> impossible(const Pass& pass, const Job& job)
+/// Why the job cannot run with the present quota and workers, or nothing.
+std::optional<std::string> unschedulableReason(const SchedulingPass& pass, const Job& job)
 {
     const auto team = pass.state.teams.find(job.spec.team);
     if (team != pass.state.teams.end() && team->second.quota && !fits(job.spec.declared, *team->second.quota))
@@ -64,18 +64,18 @@
     return "larger than any VM of pool " + job.spec.pool;
 }
 
-/// The size to reserve; the declared one where the corrected one could never fit.
-Resources sizeOf(const Pass& pass, const Job& job)
+/// Size to reserve: the estimate, or the declared size if the estimate exceeds the quota or every worker.
+Resources sizeToReserve(const SchedulingPass& pass, const Job& job)
 {
-    const auto expected = expectedUse(pass.state, job.spec);
-    if (expected == job.spec.declared)
-        return expected;
+    const auto estimated = estimatedSize(pass.state, job.spec);
+    if (estimated == job.spec.declared)
+        return estimated;
     const auto team = pass.state.teams.find(job.spec.team);
-    if (team != pass.state.teams.end() && team->second.quota && !fits(expected, *team->second.quota))
+    if (team != pass.state.teams.end() && team->second.quota && !fits(estimated, *team->second.quota))
         return job.spec.declared;
     for (const auto& candidate : pass.candidates) {
-        if (fits(expected, candidate.worker->capacity))
-            return expected;
+        if (fits(estimated, candidate.worker->capacity))
+            return estimated;
     }
     return job.spec.declared;
 }
@@ -86,23 +86,23 @@
     return !team.quota || fits(team.used + size, *team.quota);
 }
 
-/// Lower is better: a worker where the job has not failed, whose accelerators are not left idle, in the
-/// rack with fewest jobs, with least room left.
+/// Score of a worker, lower is better. Compared in this order: the job has not failed there, fewest
+/// accelerators stay idle, fewest jobs in the rack, least CPU stays free.
 using Score = std::tuple<bool, double, std::size_t, double>;
 
-/// The best worker with room, or nullptr.
-const Candidate* chooseWorker(const Pass& pass, const Job& job, const Resources& size)
+/// The best worker with enough free capacity, or nullptr.
+const Candidate* chooseWorker(const SchedulingPass& pass, const Job& job, const Resources& size)
 {
     const Candidate* best = nullptr;
     Score bestScore;
     for (const auto& candidate : pass.candidates) {
-        if (!isAvailable(*candidate.worker, pass.now))
+        if (!acceptsJobs(*candidate.worker, pass.now))
             continue;
-        const auto left = room(candidate) - size;
-        if (!fits({}, left))
+        const auto remaining = freeCapacity(candidate) - size;
+        if (!fits({}, remaining))
             continue;
-        const Score score { failedOn(job, *candidate.vm), left.accelerators, *candidate.jobsInRack,
-            left.cpu };
+        const Score score { failedOn(job, *candidate.vm), remaining.accelerators, *candidate.jobsInRack,
+            remaining.cpu };
         if (best && score >= bestScore)
             continue;
         best = &candidate;
@@ -111,7 +111,7 @@
     return best;
 }
 
-void place(Pass& pass, Job& job, const std::string& vm, const Resources& size)
+void place(SchedulingPass& pass, Job& job, const std::string& vm, const Resources& size)
 {
     auto& progress = job.progress;
     ++progress.attempts;
@@ -126,94 +126,96 @@
     pass.state.changedJobs.insert(job.spec.name);
 }
 
-/// Jobs on the worker that must end for \p size to fit; nothing if that is not enough.
+/// Jobs to preempt on the worker so that \p size fits; nothing if preemption cannot free enough. Takes
+/// lower priorities and larger reservations first. Jobs that already stop count as free capacity.
 std::optional<std::vector<std::string>> victimsOn(
-    const Pass& pass, const Candidate& candidate, const Resources& size)
+    const SchedulingPass& pass, const Candidate& candidate, const Resources& size)
 {
-    auto left = room(candidate);
-    std::vector<const Job*> lower;
+    auto available = freeCapacity(candidate);
+    std::vector<const Job*> preemptible;
     for (const auto& name : candidate.worker->jobs) {
         const auto& job = pass.state.jobs.at(name);
         if (job.progress.ending != Ending::None)
-            left = left + job.reserved;
+            available = available + job.reserved;
         else if (job.spec.priority != Priority::Urgent)
-            lower.push_back(&job);
+            preemptible.push_back(&job);
     }
-    std::sort(lower.begin(), lower.end(), [](const Job* a, const Job* b) {
+    std::sort(preemptible.begin(), preemptible.end(), [](const Job* a, const Job* b) {
         return std::tuple(a->spec.priority, a->reserved.accelerators, a->reserved.cpu, a->reserved.memoryMb)
             > std::tuple(b->spec.priority, b->reserved.accelerators, b->reserved.cpu, b->reserved.memoryMb);
     });
     std::vector<std::string> victims;
-    for (const auto* job : lower) {
-        if (fits(size, left))
+    for (const auto* job : preemptible) {
+        if (fits(size, available))
             break;
-        left = left + job->reserved;
+        available = available + job->reserved;
         victims.push_back(job->spec.name);
     }
-    if (!fits(size, left))
+    if (!fits(size, available))
         return std::nullopt;
     return victims;
 }
 
-/// Makes room for an urgent job on the worker where the fewest jobs must end.
-bool preempt(Pass& pass, const Job& job, const Resources& size)
+/// Preempts jobs for an urgent job on the worker that needs the fewest preemptions. Returns false if no
+/// worker can be freed.
+bool preempt(SchedulingPass& pass, const Job& job, const Resources& size)
 {
     Candidate* best = nullptr;
-    std::vector<std::string> fewest;
+    std::vector<std::string> bestVictims;
     for (auto& candidate : pass.candidates) {
-        if (!isAvailable(*candidate.worker, pass.now) || failedOn(job, *candidate.vm))
+        if (!acceptsJobs(*candidate.worker, pass.now) || failedOn(job, *candidate.vm))
             continue;
         auto victims = victimsOn(pass, candidate, size);
-        if (!victims || (best && victims->size() >= fewest.size()))
+        if (!victims || (best && victims->size() >= bestVictims.size()))
             continue;
         best = &candidate;
-        fewest = std::move(*victims);
+        bestVictims = std::move(*victims);
     }
     if (!best)
         return false;
-    for (const auto& victim : fewest)
+    for (const auto& victim : bestVictims)
         beginEnding(pass.state, victim, Ending::Preempt);
-    best->promised = best->promised + size;
+    best->reservedForPreemption = best->reservedForPreemption + size;
     return true;
 }
 
-bool foundNoRoom(const Pass& pass, const Resources& size)
+bool hasSmallerSizeFailed(const SchedulingPass& pass, const Resources& size)
 {
-    return std::any_of(pass.tooLarge.begin(), pass.tooLarge.end(),
+    return std::any_of(pass.sizesThatDidNotFit.begin(), pass.sizesThatDidNotFit.end(),
         [&](const Resources& other) { return fits(other, size); });
 }
 
-/// Whether the job left the queue.
-bool tryJob(Pass& pass, Job& job)
+/// Places the job or records why it waits. Returns whether the job leaves the queue.
+bool trySchedule(SchedulingPass& pass, Job& job)
 {
-    if (auto reason = impossible(pass, job)) {
-        setWaiting(pass.state, job, Phase::Unschedulable, *reason);
+    if (auto reason = unschedulableReason(pass, job)) {
+        setPhaseAndCondition(pass.state, job, Phase::Unschedulable, *reason);
         pass.pool.unschedulable.insert(job.spec.name);
         return true;
     }
-    const auto size = sizeOf(pass, job);
+    const auto size = sizeToReserve(pass, job);
     if (!isWithinQuota(pass.state, job, size)) {
         pass.state.teams[job.spec.team].waitingPools.insert(job.spec.pool);
-        setWaiting(pass.state, job, Phase::Queued, "waits for the quota of team " + job.spec.team);
+        setPhaseAndCondition(pass.state, job, Phase::Queued, "waits for the quota of team " + job.spec.team);
         return false;
     }
     const bool isUrgent = job.spec.priority == Priority::Urgent;
-    const bool isHopeless = !isUrgent && foundNoRoom(pass, size);
-    if (const auto* chosen = isHopeless ? nullptr : chooseWorker(pass, job, size)) {
+    const bool isKnownNotToFit = !isUrgent && hasSmallerSizeFailed(pass, size);
+    if (const auto* chosen = isKnownNotToFit ? nullptr : chooseWorker(pass, job, size)) {
         place(pass, job, *chosen->vm, size);
         return true;
     }
     if (isUrgent && preempt(pass, job, size)) {
-        setWaiting(pass.state, job, Phase::Queued, "waits for lower work to end");
+        setPhaseAndCondition(pass.state, job, Phase::Queued, "waits for preempted jobs to stop");
         return false;
     }
-    if (!isHopeless && !isUrgent)
-        pass.tooLarge.push_back(size);
-    setWaiting(pass.state, job, Phase::Queued, "waits for room in pool " + job.spec.pool);
+    if (!isKnownNotToFit && !isUrgent)
+        pass.sizesThatDidNotFit.push_back(size);
+    setPhaseAndCondition(pass.state, job, Phase::Queued, "waits for free capacity in pool " + job.spec.pool);
     return false;
 }
 
-void lookUpCandidates(Pass& pass)
+void collectCandidates(SchedulingPass& pass)
 {
     for (const auto& vm : pass.pool.workers) {
         const auto& worker = pass.state.workers.at(vm);
@@ -223,13 +225,13 @@
     }
 }
 
-void passPool(Pass& pass)
+void schedulePool(SchedulingPass& pass)
 {
-    lookUpCandidates(pass);
+    collectCandidates(pass);
     auto& queue = pass.pool.queue;
     for (auto it = queue.begin(); it != queue.end();) {
         auto& job = pass.state.jobs.at(std::get<std::string>(*it));
-        it = tryJob(pass, job) ? queue.erase(it) : std::next(it);
+        it = trySchedule(pass, job) ? queue.erase(it) : std::next(it);
     }
 }
 
@@ -241,12 +243,12 @@
         if (worker.setAsideUntil == TimePoint {} || worker.setAsideUntil > now)
             continue;
         worker.setAsideUntil = {};
-        worker.blamedJobs.clear();
+        worker.jobsFailedOnlyHere.clear();
         state.dirtyPools.insert(worker.pool);
     }
     for (const auto& name : std::exchange(state.dirtyPools, {})) {
-        Pass current { state, state.pools[name], epoch, now, {}, {}, {} };
-        passPool(current);
+        SchedulingPass current { state, state.pools[name], epoch, now, {}, {}, {} };
+        schedulePool(current);
     }
 }
 
--- a/src/libkernel/placement_pvt.h
+++ b/src/libkernel/placement_pvt.h
@@ -1,22 +1,23 @@
 /// \file
-/// Parts of placement shared by its sources.
+/// Internal functions shared by the placement sources.
 #pragma once
 
 #include <damaskworks/placement.h>
 
 namespace damask::placement {
 
-/// Puts a job into its pool's queue.
+/// Adds a job to its pool's queue and marks the pool for the next pass.
 void enqueue(State& state, Job& job);
-/// Takes a job out of its pool's queue and list of unschedulable jobs.
+/// Removes a job from its pool's queue and its set of unschedulable jobs.
 void dequeue(State& state, Job& job);
-/// Reserves \p size on the job's worker and of its team's quota.
+/// Reserves \p size on the job's worker and in its team's quota.
 void reserve(State& state, Job& job, const Resources& size);
-/// Gives back what the job has reserved.
+/// Releases the job's reservation and marks the pools that may use it for the next pass.
 void release(State& state, Job& job);
-/// The job's task has ended without a result: queue it again, or end it if it was cancelled.
-void endWithoutResult(State& state, Job& job);
-/// Marks a pool for the next pass, together with its unschedulable jobs.
-void reconsider(State& state, const std::string& pool);
+/// Handles a task that stopped without a result: requeues the job, or marks it as cancelled if a
+/// cancellation was requested.
+void requeueOrCancel(State& state, Job& job);
+/// Marks a pool for the next pass and requeues its unschedulable jobs.
+void markPoolDirty(State& state, const std::string& pool);
 
 } // namespace damask::placement
--- a/src/libkernel/placement_report.cpp
+++ b/src/libkernel/placement_report.cpp
@@ -5,47 +5,48 @@
 namespace damask::placement {
 namespace {
 
-/// Distinct jobs that must fail on a worker, without a success between, to set it aside.
-constexpr std::size_t failuresToSetAside = 3;
-constexpr std::chrono::minutes setAsideTime { 10 };
+/// Number of distinct jobs that must fail on a worker, without a success in between, to quarantine it.
+constexpr std::size_t failuresToQuarantine = 3;
+constexpr std::chrono::minutes quarantineTime { 10 };
 
-void learn(State& state, const Job& job, const TaskReport& report)
+void updateEstimate(State& state, const Job& job, const TaskReport& report)
 {
-    auto& estimate = state.estimates[classOf(job.spec)];
+    auto& estimate = state.estimates[jobClassOf(job.spec)];
     estimate.peak.cpu = std::max(estimate.peak.cpu, report.cpuUsed);
     estimate.peak.memoryMb = std::max(estimate.peak.memoryMb, report.memoryUsedMb);
     ++estimate.samples;
 }
 
-/// A job that failed on two workers is at fault itself: no worker is blamed for it.
-void withdrawBlame(State& state, const Job& job)
+/// A job that failed on two workers is itself the likely cause, so its failures count against no
+/// worker. Lifts the quarantine of a worker that falls below the limit.
+void clearWorkerFailures(State& state, const Job& job)
 {
     for (const auto& vm : job.progress.failedOn) {
         auto worker = state.workers.find(vm);
-        if (worker == state.workers.end() || worker->second.blamedJobs.erase(job.spec.name) == 0)
+        if (worker == state.workers.end() || worker->second.jobsFailedOnlyHere.erase(job.spec.name) == 0)
             continue;
-        if (worker->second.blamedJobs.size() >= failuresToSetAside)
+        if (worker->second.jobsFailedOnlyHere.size() >= failuresToQuarantine)
             continue;
         worker->second.setAsideUntil = {};
         state.dirtyPools.insert(worker->second.pool);
     }
 }
 
-void blame(State& state, const Job& job, TimePoint now)
+void recordWorkerFailure(State& state, const Job& job, TimePoint now)
 {
     const auto& failedOn = job.progress.failedOn;
-    const auto isOther = [&](const std::string& vm) { return vm != failedOn.back(); };
-    if (std::any_of(failedOn.begin(), failedOn.end(), isOther))
-        return withdrawBlame(state, job);
+    const auto isOtherVm = [&](const std::string& vm) { return vm != failedOn.back(); };
+    if (std::any_of(failedOn.begin(), failedOn.end(), isOtherVm))
+        return clearWorkerFailures(state, job);
     auto worker = state.workers.find(failedOn.back());
     if (worker == state.workers.end())
         return;
-    worker->second.blamedJobs.insert(job.spec.name);
-    if (worker->second.blamedJobs.size() >= failuresToSetAside)
-        worker->second.setAsideUntil = now + setAsideTime;
+    worker->second.jobsFailedOnlyHere.insert(job.spec.name);
+    if (worker->second.jobsFailedOnlyHere.size() >= failuresToQuarantine)
+        worker->second.setAsideUntil = now + quarantineTime;
 }
 
-void finish(State& state, Job& job, Phase phase, std::string condition)
+void endJob(State& state, Job& job, Phase phase, std::string condition)
 {
     release(state, job);
     job.progress.phase = phase;
@@ -54,30 +55,30 @@
     state.changedJobs.insert(job.spec.name);
 }
 
-void fail(State& state, Job& job, TimePoint now)
+void handleFailure(State& state, Job& job, TimePoint now)
 {
     const bool isCancelled = job.progress.ending == Ending::Cancel;
     job.progress.failedOn.push_back(job.progress.vm);
-    blame(state, job, now);
+    recordWorkerFailure(state, job, now);
     if (isCancelled)
-        return endWithoutResult(state, job);
+        return requeueOrCancel(state, job);
     if (job.progress.failedOn.size() >= job.spec.maxAttempts)
-        return finish(
+        return endJob(
             state, job, Phase::Failed, "failed " + std::to_string(job.progress.failedOn.size()) + " times");
-    endWithoutResult(state, job);
+    requeueOrCancel(state, job);
 }
 
-void succeed(State& state, Job& job, const TaskReport& report)
+void handleSuccess(State& state, Job& job, const TaskReport& report)
 {
-    learn(state, job, report);
+    updateEstimate(state, job, report);
     auto worker = state.workers.find(job.progress.vm);
     if (worker != state.workers.end())
-        worker->second.blamedJobs.clear();
-    finish(state, job, Phase::Succeeded, "");
+        worker->second.jobsFailedOnlyHere.clear();
+    endJob(state, job, Phase::Succeeded, "");
 }
 
-/// Raises the reservation of a job that is seen to use more than was reserved.
-void follow(State& state, Job& job, const TaskReport& report)
+/// Marks the job as running and raises its reservation if it uses more than it reserved.
+void handleRunning(State& state, Job& job, const TaskReport& report)
 {
     if (job.progress.phase == Phase::Placed) {
         job.progress.phase = Phase::Running;
@@ -106,13 +107,13 @@
     case TaskState::Unknown:
         return;
     case TaskState::Running:
-        return follow(state, job, report);
+        return handleRunning(state, job, report);
     case TaskState::Succeeded:
-        return succeed(state, job, report);
+        return handleSuccess(state, job, report);
     case TaskState::Failed:
-        return fail(state, job, now);
+        return handleFailure(state, job, now);
     case TaskState::Stopped:
-        return endWithoutResult(state, job);
+        return requeueOrCancel(state, job);
     }
 }
 
--- a/src/libkernel/placement_test.cpp
+++ b/src/libkernel/placement_test.cpp
@@ -18,7 +18,7 @@
         setWorker(state, vm, worker);
     }
 
-    void add(
+    void addJob(
         const std::string& name, double cpu, Priority priority = Priority::Normal, bool cancelled = false)
     {
         JobSpec spec { name, "imaging", "team", { cpu, 100, 0 }, priority };
@@ -26,13 +26,13 @@
         declare(state, spec);
     }
 
-    const Progress& of(const std::string& job) { return state.jobs.at(job).progress; }
+    const Progress& progressOf(const std::string& job) { return state.jobs.at(job).progress; }
 
-    void run() { pass(state, 1, now); }
+    void runPass() { pass(state, 1, now); }
 
     void report(const std::string& job, TaskState task, double cpuUsed = 0)
     {
-        observe(state, { of(job).task, job, of(job).vm, task, cpuUsed, 0 }, now);
+        observe(state, { progressOf(job).task, job, progressOf(job).vm, task, cpuUsed, 0 }, now);
     }
 
     State state;
@@ -41,68 +41,68 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(impossibleJobSaysSoAndBlocksNothing, Placement)
+BOOST_FIXTURE_TEST_CASE(unschedulableJobIsReportedAndDoesNotBlockOthers, Placement)
 {
     addWorker("a");
-    add("huge", 5, Priority::Urgent);
-    add("small", 1, Priority::Low);
-    run();
-    BOOST_TEST((of("huge").phase == Phase::Unschedulable));
-    BOOST_TEST(of("huge").condition == "larger than any VM of pool imaging");
-    BOOST_TEST((of("small").phase == Phase::Placed));
+    addJob("huge", 5, Priority::Urgent);
+    addJob("small", 1, Priority::Low);
+    runPass();
+    BOOST_TEST((progressOf("huge").phase == Phase::Unschedulable));
+    BOOST_TEST(progressOf("huge").condition == "larger than any VM of pool imaging");
+    BOOST_TEST((progressOf("small").phase == Phase::Placed));
     addWorker("b", { 8, 8000, 0 });
-    run();
-    BOOST_TEST(of("huge").vm == "b");
+    runPass();
+    BOOST_TEST(progressOf("huge").vm == "b");
 }
 
-BOOST_FIXTURE_TEST_CASE(jobLargerThanItsQuotaSaysSo, Placement)
+BOOST_FIXTURE_TEST_CASE(jobLargerThanItsQuotaIsReported, Placement)
 {
     addWorker("a");
     setQuota(state, "team", Resources { 2, 1000, 0 });
-    add("large", 3);
-    add("first", 2);
-    add("second", 2);
-    run();
-    BOOST_TEST(of("large").condition == "larger than the quota of team team");
-    BOOST_TEST((of("first").phase == Phase::Placed));
-    BOOST_TEST(of("second").condition == "waits for the quota of team team");
+    addJob("large", 3);
+    addJob("first", 2);
+    addJob("second", 2);
+    runPass();
+    BOOST_TEST(progressOf("large").condition == "larger than the quota of team team");
+    BOOST_TEST((progressOf("first").phase == Phase::Placed));
+    BOOST_TEST(progressOf("second").condition == "waits for the quota of team team");
     report("first", TaskState::Succeeded);
-    run();
-    BOOST_TEST((of("second").phase == Phase::Placed));
+    runPass();
+    BOOST_TEST((progressOf("second").phase == Phase::Placed));
 }
 
-BOOST_FIXTURE_TEST_CASE(urgentWorkTakesThePlaceOfTheFewestLowerJobs, Placement)
+BOOST_FIXTURE_TEST_CASE(urgentJobPreemptsTheFewestLowerPriorityJobs, Placement)
 {
     addWorker("a");
     addWorker("b");
-    add("two-1", 2);
-    add("two-2", 2);
-    add("four", 4, Priority::Low);
-    run();
-    add("urgent", 4, Priority::Urgent);
-    run();
-    BOOST_TEST((of("four").ending == Ending::Preempt));
-    BOOST_TEST((of("two-1").ending == Ending::None));
-    add("late", 4);
+    addJob("two-1", 2);
+    addJob("two-2", 2);
+    addJob("four", 4, Priority::Low);
+    runPass();
+    addJob("urgent", 4, Priority::Urgent);
+    runPass();
+    BOOST_TEST((progressOf("four").ending == Ending::Preempt));
+    BOOST_TEST((progressOf("two-1").ending == Ending::None));
+    addJob("late", 4);
     report("four", TaskState::Stopped);
-    run();
-    BOOST_TEST((of("urgent").phase == Phase::Placed));
-    BOOST_TEST((of("four").phase == Phase::Queued));
-    BOOST_TEST((of("late").phase == Phase::Queued));
+    runPass();
+    BOOST_TEST((progressOf("urgent").phase == Phase::Placed));
+    BOOST_TEST((progressOf("four").phase == Phase::Queued));
+    BOOST_TEST((progressOf("late").phase == Phase::Queued));
 }
 
-BOOST_FIXTURE_TEST_CASE(workerThatFailsEverythingIsSetAsideAndABadJobSetsNoneAside, Placement)
+BOOST_FIXTURE_TEST_CASE(repeatedFailuresQuarantineAWorkerUnlessTheJobsFailElsewhereToo, Placement)
 {
     addWorker("bad", { 4, 4000, 0 });
     for (auto name : { "x", "y", "z" })
-        add(name, 1);
-    run();
+        addJob(name, 1);
+    runPass();
     addWorker("good", { 8, 4000, 0 });
     for (auto name : { "x", "y", "z" })
         report(name, TaskState::Failed);
-    run();
+    runPass();
     for (auto name : { "x", "y", "z" })
-        BOOST_TEST(of(name).vm == "good");
+        BOOST_TEST(progressOf(name).vm == "good");
     BOOST_TEST((state.workers.at("bad").setAsideUntil > now));
     for (auto name : { "x", "y", "z" })
         report(name, TaskState::Failed);
@@ -114,43 +114,43 @@
 {
     addWorker("a");
     for (auto name : { "render-1", "render-2", "render-3" }) {
-        add(name, 4);
-        run();
+        addJob(name, 4);
+        runPass();
         report(name, TaskState::Succeeded, 1);
     }
-    add("render-4", 4);
-    add("render-5", 4);
-    run();
-    BOOST_TEST((of("render-4").phase == Phase::Placed));
-    BOOST_TEST((of("render-5").phase == Phase::Placed));
+    addJob("render-4", 4);
+    addJob("render-5", 4);
+    runPass();
+    BOOST_TEST((progressOf("render-4").phase == Phase::Placed));
+    BOOST_TEST((progressOf("render-5").phase == Phase::Placed));
 }
 
-BOOST_FIXTURE_TEST_CASE(newAttemptWaitsForTheEndOfTheOld, Placement)
+BOOST_FIXTURE_TEST_CASE(newAttemptWaitsUntilThePreviousTaskStops, Placement)
 {
     addWorker("a");
     addWorker("b");
-    add("job", 1);
-    run();
-    const auto first = of("job").task;
+    addJob("job", 1);
+    runPass();
+    const auto first = progressOf("job").task;
     beginEnding(state, "job", Ending::Lost);
-    run();
-    BOOST_TEST(of("job").task == first);
+    runPass();
+    BOOST_TEST(progressOf("job").task == first);
     report("job", TaskState::Stopped);
-    run();
-    BOOST_TEST(of("job").task != first);
+    runPass();
+    BOOST_TEST(progressOf("job").task != first);
     observe(state, { first, "job", "a", TaskState::Succeeded }, now);
-    BOOST_TEST((of("job").phase == Phase::Placed));
+    BOOST_TEST((progressOf("job").phase == Phase::Placed));
 }
 
-BOOST_FIXTURE_TEST_CASE(wavesOfCancellationsEnd, Placement)
+BOOST_FIXTURE_TEST_CASE(manyConcurrentCancellationsComplete, Placement)
 {
     addWorker("a");
     for (int i = 0; i < 100; ++i)
-        add("job-" + std::to_string(i), 1);
-    run();
+        addJob("job-" + std::to_string(i), 1);
+    runPass();
     for (int i = 0; i < 100; ++i)
-        add("job-" + std::to_string(i), 1, Priority::Normal, true);
-    run();
+        addJob("job-" + std::to_string(i), 1, Priority::Normal, true);
+    runPass();
     for (int i = 0; i < 100; ++i)
         report("job-" + std::to_string(i), TaskState::Stopped);
     for (const auto& [name, job] : state.jobs)
