--- a/src/buffered.move/buffered_move.cpp
+++ b/src/buffered.move/buffered_move.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Move policy "buffered": follows the smoothed demand, so that a peak of seconds causes no move, and
-/// holds a buffer in each pool whose size follows from the firm's weights.
+/// Move policy "buffered": follows the smoothed demand, so that a peak of a few seconds causes no move.
+/// Holds a buffer of VMs in each pool, sized by the organisation's cost weights.
 #include <damaskworks/move.h>
 #include <damaskworks/registry.h>
 
@@ -10,13 +10,13 @@
 std::vector<Move> decideBuffered(
     State& state, const std::vector<Pool>& pools, const Settings& settings, TimePoint now)
 {
-    observe(state, pools, settings.smoothing, now);
-    // A mean over less than its time constant is mostly the first sample.
-    if (now - state.started < settings.smoothing)
+    updateDemand(state, pools, settings.smoothing, now);
+    // Until the time constant has passed, the first samples dominate the mean.
+    if (now - state.startedAt < settings.smoothing)
         return {};
     std::vector<double> needs;
     for (const auto& pool : pools)
-        needs.push_back(neededVms(pool, smoothedDemand(state, pool.name), cover(settings)));
+        needs.push_back(neededVms(pool, smoothedDemand(state, pool.name), headroomFactor(settings)));
     return balance(pools, needs, settings);
 }
 
--- a/src/include/damaskworks/membership.h
+++ b/src/include/damaskworks/membership.h
@@ -1,9 +1,10 @@
 /// \file
-/// Membership of the entry VMs: which are known, how fresh that knowledge is, and what of it is
-/// passed on. Pure functions over plain structs; time and random numbers are passed in.
+/// Membership of the entry VMs: which nodes are known, how recent their heartbeats are, and which
+/// heartbeats the next gossip message carries. The functions have no state of their own; the caller passes
+/// in the time and the random numbers. Sizes are in bytes.
 ///
-/// Records spread by gossip with bounded messages (as in SWIM, Das et al. 2002): records with news go
-/// first, in turn by node.
+/// Heartbeats spread by gossip in messages of bounded size (as in SWIM, Das et al. 2002). Heartbeats that
+/// have not been forwarded yet go first, then those forwarded longest ago.
 #pragma once
 
 #include <damaskworks/clock.h>
@@ -20,7 +21,7 @@
 
 namespace damask {
 
-/// Version of the protocol between entry VMs; others are refused.
+/// Version of the protocol between entry VMs. A node refuses peers with any other version.
 inline constexpr std::uint32_t peerProtocolVersion = 2;
 
 /// Load of one pool as seen by one entry VM.
@@ -28,38 +29,39 @@
     std::string pool;
     std::uint32_t inFlight = 0;
     std::uint32_t queued = 0;
-    float arrivals = 0; ///< requests a second, smoothed
+    float arrivals = 0; ///< requests per second, smoothed
 };
 
-/// What an entry VM tells of itself, and what others pass on.
+/// State that an entry VM publishes about itself, and that its peers forward.
 struct Heartbeat {
     std::string cluster;
     std::uint32_t protocol = peerProtocolVersion;
     std::string node;
-    std::uint64_t incarnation = 0; ///< grows with each restart or replacement
+    std::uint64_t incarnation = 0; ///< increases with each restart or replacement
     std::string dataCentre;
     bool leaving = false;
     std::uint64_t configurationVersion = 0;
-    TableVersion tableVersion = 0; ///< that the node's rows cover
-    TableVersion specVersion = 0; ///< of the newest spec row that the node has
+    TableVersion tableVersion = 0; ///< table version that the node's rows reflect
+    TableVersion specVersion = 0; ///< version of the newest spec row that the node has
     std::vector<PoolLoad> loads;
-    std::uint64_t sequence = 0; ///< grows with each heartbeat of one incarnation
-    Address address; ///< of the peer port; port 0: unknown
-    std::chrono::milliseconds age { 0 }; ///< since the node itself made it, as far as is known
+    std::uint64_t sequence = 0; ///< increases with each heartbeat of one incarnation
+    Address address; ///< address of the peer port; port 0: unknown
+    /// Time since the node created it, as summed over the forwarding nodes.
+    std::chrono::milliseconds age { 0 };
 };
 
-/// A peer as last heard of, directly or through others.
+/// Newest known heartbeat of a peer, received directly or forwarded.
 struct PeerView {
     Heartbeat heartbeat;
-    TimePoint lastHeard; ///< when the peer made its newest known heartbeat
-    bool hasNews = true; ///< the heartbeat has not been put into a digest
-    TimePoint lastPassedOn {}; ///< when an earlier or this heartbeat was put into a digest
-    std::size_t nextLoad = 0; ///< first load of the next digest, if they don't all fit
+    TimePoint lastHeard; ///< when the peer created the heartbeat
+    bool hasUnsentUpdate = true; ///< no digest has carried this heartbeat yet
+    TimePoint lastForwarded {}; ///< when a digest last carried a heartbeat of this peer
+    std::size_t nextLoad = 0; ///< index of the first load in the next digest, when not all fit
 };
 
 namespace membership {
 
-/// How fresh the knowledge of a member is.
+/// Liveness of a member.
 enum class Phase { Live, Leaving, Suspected };
 
 inline constexpr NameTable<Phase, 3> phaseNames { {
@@ -68,53 +70,56 @@
     { Phase::Suspected, "suspected" },
 } };
 
-/// What became of a record.
+/// Result of applying a heartbeat.
 enum class Verdict {
-    Newer, ///< taken over
-    Old, ///< no newer than what is known, or of a process that has been replaced
-    Superseded, ///< of a newer process with this node's own name
+    Newer, ///< applied
+    Stale, ///< not applied: not newer than the known one, from a replaced process, too old, or no space
+    Superseded, ///< from a newer process that runs under this node's name
 };
 
-/// Limits of the membership.
+/// Time and size limits.
 struct Limits {
-    std::chrono::milliseconds suspectAfter { 15'000 }; ///< at least
-    /// Added to the time until suspicion with each member, since news spread more slowly among more.
+    std::chrono::milliseconds suspectAfter { 15'000 }; ///< minimum silence before suspicion
+    /// Silence allowed per member, because heartbeats spread more slowly in a larger cluster. The larger of
+    /// the two limits applies.
     std::chrono::milliseconds suspectAfterPerMember { 1000 };
-    std::chrono::milliseconds forgetAfter { 120'000 };
-    std::size_t digestBytes = 280; ///< of the records that are passed on with the own one
-    std::size_t ownLoadBytes = 120; ///< of the pools' loads in the own record
-    std::size_t passedLoadBytes = 60; ///< of the loads in the one record that is passed on with loads
-    std::size_t members = 1024;
+    std::chrono::milliseconds forgetAfter { 120'000 }; ///< silence after which a member is removed
+    std::size_t digestBytes = 280; ///< of the forwarded heartbeats in one message
+    std::size_t ownLoadBytes = 120; ///< of the pool loads in the node's own heartbeat
+    /// Of the pool loads in the first forwarded heartbeat; the others carry none.
+    std::size_t forwardedLoadBytes = 60;
+    std::size_t members = 1024; ///< most members to keep
 };
 
-/// Knowledge of one node.
+/// What one node knows of the cluster.
 struct State {
     std::string self;
     std::uint64_t incarnation = 0;
     Limits limits;
-    std::map<std::string, PeerView> members; ///< by node, without this node
-    bool superseded = false; ///< a newer process has this node's name
-    std::size_t nextOwnLoad = 0; ///< first load of the next own record
+    std::map<std::string, PeerView> members; ///< by node name, without this node
+    bool superseded = false; ///< a newer process runs under this node's name
+    std::size_t nextOwnLoad = 0; ///< index of the first load in the node's next own heartbeat
 };
 
-/// Takes over a record if it is newer than what is known. A record of a lower incarnation, or of a
-/// node whose address a later process has taken, is old. Records may carry a part of the pools'
-/// loads; those of the other pools stay as known.
+/// Applies a heartbeat if it is newer than the known one. A heartbeat is stale if its incarnation is lower
+/// or if a later process uses the node's address. A heartbeat may carry the loads of only some pools; the
+/// known loads of the other pools stay.
 Verdict observe(State& state, const Heartbeat& heartbeat, TimePoint now);
-/// Time without news after which a member is suspected.
-std::chrono::milliseconds suspicionTime(const State& state);
-/// Phase of a member. After a pause of this process all members are suspected until heard again.
+/// Silence after which a member is suspected.
+std::chrono::milliseconds suspicionTimeout(const State& state);
+/// Phase of a member. After a long pause of this process, every member is suspected until its next heartbeat.
 Phase phase(const State& state, const PeerView& view, TimePoint now);
-/// Drops members that were not heard of for Limits::forgetAfter.
+/// Removes members that have been silent for Limits::forgetAfter.
 void expire(State& state, TimePoint now);
-/// Limits the loads of the own record to Limits::ownLoadBytes, other pools with each call.
+/// Truncates the loads of the node's own heartbeat to Limits::ownLoadBytes. Successive calls keep different
+/// pools in turn.
 void limitOwnLoads(State& state, Heartbeat& self);
-/// The records to pass on in one message, those with news first and in turn, within Limits::digestBytes.
+/// The heartbeats to forward in one message, within Limits::digestBytes. Omits suspected members.
 std::vector<Heartbeat> digest(State& state, TimePoint now);
-/// At most \p count distinct members of \p candidates in random order.
+/// Chooses up to \p count of \p candidates in random order.
 std::vector<std::string> choosePartners(
     std::vector<std::string> candidates, std::size_t count, std::mt19937_64& random);
-/// Approximate encoded size of a record, in bytes.
+/// Approximate encoded size of a heartbeat, in bytes.
 std::size_t encodedSize(const Heartbeat& heartbeat);
 
 } // namespace membership
--- a/src/include/damaskworks/move.h
+++ b/src/include/damaskworks/move.h
@@ -1,6 +1,6 @@
 /// \file
-/// VM moves between pools: policies that decide from each pool's demand which pool gives a VM to
-/// which. Policies are plug-ins, registered by name in Registry<move::Policy>.
+/// VM moves between pools: policies choose donor and receiver pools from each pool's demand. Policies are
+/// plug-ins, registered by name in Registry<move::Policy>. Demand is in slots, needs are in VMs.
 #pragma once
 
 #include <damaskworks/clock.h>
@@ -15,19 +15,19 @@
 
 namespace damask::move {
 
-/// One pool as a policy sees it.
+/// Input of a policy for one pool.
 struct Pool {
     std::string name;
-    double busySlots = 0; ///< slots in use at this moment
+    double busySlots = 0; ///< slots in use now
     double queued = 0; ///< requests waiting for a slot
     std::uint32_t vms = 0; ///< in service and not leaving
-    std::uint32_t arriving = 0; ///< on their way into the pool
+    std::uint32_t arriving = 0; ///< moving into the pool
     std::uint32_t slotsPerVm = 8;
-    std::uint32_t minVms = 1;
-    bool spare = false; ///< gives VMs before other pools do
+    std::uint32_t minVms = 1; ///< the pool keeps at least this many
+    bool spare = false; ///< preferred donor
 };
 
-/// What a firm weighs. Only the ratio of the two counts.
+/// Cost weights of the organisation. Only their ratio matters.
 struct Weights {
     double buffer = 1; ///< cost of an idle VM
     double rollout = 1; ///< cost of a longer maintenance wave
@@ -36,45 +36,46 @@
 /// Settings of a policy.
 struct Settings {
     Weights weights;
-    Duration smoothing = std::chrono::minutes(10); ///< time constant of the demand's mean
-    double peakCover = 1.65; ///< slots held for each slot of mean demand, before weights
-    double hysteresisVms = 0.25; ///< surplus that a giving pool keeps above its need
-    std::uint32_t maxArriving = 3; ///< moves under way at once
+    Duration smoothing = std::chrono::minutes(10); ///< time constant of the mean demand
+    double peakCover = 1.65; ///< slots to hold per slot of mean demand, before the weights apply
+    double hysteresisVms = 0.25; ///< VMs above its need that a donor must keep
+    std::uint32_t maxArriving = 3; ///< limit on concurrent moves, over all pools
 };
 
-/// What a policy remembers between passes.
+/// State of a policy between calls.
 struct State {
-    std::map<std::string, double, std::less<>> weightedDemand; ///< slots in use, times weight, by pool
-    double weight = 0; ///< of all observations so far; tends to 1
-    TimePoint started {};
-    TimePoint updated {};
+    /// Mean slots in use by pool, before division by totalWeight.
+    std::map<std::string, double, std::less<>> weightedDemand;
+    double totalWeight = 0; ///< sum of the observations' weights; tends to 1
+    TimePoint startedAt {};
+    TimePoint updatedAt {};
 };
 
-/// Give one VM of pool \p from to pool \p to.
+/// Moves one VM from pool \p from to pool \p to.
 struct Move {
     std::string from;
     std::string to;
 };
 
-/// A policy: the moves to begin now. It is called about once a second.
+/// A policy returns the moves to start now. The caller runs it about once a second.
 using Policy = std::function<std::vector<Move>(State&, const std::vector<Pool>&, const Settings&, TimePoint)>;
 
-/// Takes the present demand into the exponentially weighted mean of each pool.
-void observe(State& state, const std::vector<Pool>& pools, Duration smoothing, TimePoint now);
+/// Updates the exponentially weighted mean demand of each pool with its current demand.
+void updateDemand(State& state, const std::vector<Pool>& pools, Duration smoothing, TimePoint now);
 
-/// Mean slots in use, without bias towards the first observation.
+/// Mean slots in use of a pool, corrected for the bias of the first observations; 0 if unknown.
 double smoothedDemand(const State& state, std::string_view pool);
 
-/// Slots to hold for each slot of mean demand; grows with the weight of roll-out time, because a wave
-/// can take as many VMs at once as the pool has above its need.
-double cover(const Settings& settings);
+/// Slots to hold per slot of mean demand. Increases with the weight of roll-out time, because a wave can
+/// reboot as many VMs at once as the pool holds above its need.
+double headroomFactor(const Settings& settings);
 
-/// VMs that \p pool needs for \p demandSlots, as a fraction, at least its minimum.
-double neededVms(const Pool& pool, double demandSlots, double cover);
+/// VMs that \p pool needs for \p demandSlots, not rounded, at least its minimum.
+double neededVms(const Pool& pool, double demandSlots, double headroomFactor);
 
-/// Moves that bring each pool to its need: needs are in VMs, in the order of \p pools. A spare pool
-/// gives first; a pool gives only while it keeps \p hysteresisVms above its own need, or, when no pool
-/// has that much, while it stays better covered than the receiver was.
+/// Moves that bring each pool to its need. \p needs are in VMs, in the order of \p pools. Spare pools with
+/// a surplus are the first donors. A donor must keep Settings::hysteresisVms above its own need. A pool
+/// without that surplus may also donate if it then remains clearly better supplied than the receiver was.
 std::vector<Move> balance(
     std::vector<Pool> pools, const std::vector<double>& needs, const Settings& settings);
 
--- a/src/libkernel/lease.cpp
+++ b/src/libkernel/lease.cpp
@@ -9,7 +9,7 @@
 
 using nlohmann::json;
 
-constexpr std::size_t maxRenewalsPerCommit = 64;
+constexpr std::size_t maxRenewalsPerTransaction = 64;
 
 std::string leaseKey(std::string_view key) { return std::string(leasePrefix) + std::string(key); }
 std::string fenceKey(std::string_view key) { return std::string(fencePrefix) + std::string(key); }
@@ -30,12 +30,12 @@
         row.value("renewal", std::uint64_t { 0 }) };
 }
 
-std::uint64_t score(std::string_view key, std::string_view member)
+std::uint64_t hashScore(std::string_view key, std::string_view member)
 {
     return XXH3_64bits_withSeed(member.data(), member.size(), XXH3_64bits(key.data(), key.size()));
 }
 
-/// What the lease row holds after an attempt of kind \p kind.
+/// Contents of the lease row after an attempt of kind \p kind.
 Content nextContent(const State& state, const Lease& lease, AttemptKind kind)
 {
     switch (kind) {
@@ -49,7 +49,7 @@
     return {};
 }
 
-void add(State& state, Attempt& attempt, const std::string& key)
+void addLease(State& state, Attempt& attempt, const std::string& key)
 {
     auto& lease = state.leases[key];
     lease.pending = true;
@@ -60,19 +60,19 @@
         attempt.transaction.writes.push_back({ fenceKey(key), json { { "holder", state.node } }.dump() });
 }
 
-bool wantsToTake(const Lease& lease, const Settings& settings, std::size_t rank, TimePoint now)
+bool shouldAcquire(const Lease& lease, const Settings& settings, std::size_t rank, TimePoint now)
 {
     const auto delay = settings.rankDelay * static_cast<Duration::rep>(rank);
     const bool isFree = lease.version == 0 || lease.content.holder.empty();
     return now - lease.unchangedSince >= delay + (isFree ? Duration::zero() : settings.length);
 }
 
-bool wantsToRelease(const Lease& lease, const Settings& settings, const Surroundings& around,
-    std::size_t rank, bool isWanted, TimePoint now)
+bool shouldRelease(const Lease& lease, const Settings& settings, const Surroundings& cluster,
+    std::size_t rank, bool needsHolder, TimePoint now)
 {
-    if (around.leaving || !isWanted)
+    if (cluster.leaving || !needsHolder)
         return true;
-    return rank > 0 && now - lease.takenAt >= settings.minimumHold;
+    return rank > 0 && now - lease.acquiredAt >= settings.minimumHold;
 }
 
 } // namespace
@@ -81,11 +81,11 @@
 {
     if (std::find(members.begin(), members.end(), node) == members.end())
         return members.size();
-    const auto own = std::pair(score(key, node), node);
-    std::size_t better = 0;
+    const auto ownScore = std::pair(hashScore(key, node), node);
+    std::size_t higherRanked = 0;
     for (const auto& member : members)
-        better += std::pair(score(key, member), std::string_view(member)) > own;
-    return better;
+        higherRanked += std::pair(hashScore(key, member), std::string_view(member)) > ownScore;
+    return higherRanked;
 }
 
 void observe(State& state, const Row& row, TimePoint now)
@@ -103,33 +103,35 @@
         lease.held = false;
 }
 
-std::vector<Attempt> decide(State& state, const Settings& settings, const Surroundings& around, TimePoint now)
+std::vector<Attempt> decide(
+    State& state, const Settings& settings, const Surroundings& cluster, TimePoint now)
 {
     std::vector<Attempt> attempts;
-    if (now - around.lastContact > settings.contactLimit)
+    if (now - cluster.lastContact > settings.contactLimit)
         return attempts;
-    for (const auto& key : around.keys)
+    for (const auto& key : cluster.keys)
         state.leases.try_emplace(key, Lease { .unchangedSince = now });
     Attempt renewals { AttemptKind::Renew, {}, {}, now };
     Attempt releases { AttemptKind::Release, {}, {}, now };
     for (auto& [key, lease] : state.leases) {
         if (lease.pending)
             continue;
-        const bool isWanted = std::find(around.keys.begin(), around.keys.end(), key) != around.keys.end();
-        const auto ownRank = rank(key, state.node, around.members);
+        const bool needsHolder
+            = std::find(cluster.keys.begin(), cluster.keys.end(), key) != cluster.keys.end();
+        const auto ownRank = rank(key, state.node, cluster.members);
         if (lease.held) {
-            if (wantsToRelease(lease, settings, around, ownRank, isWanted, now))
-                add(state, releases, key);
+            if (shouldRelease(lease, settings, cluster, ownRank, needsHolder, now))
+                addLease(state, releases, key);
             else if (now - lease.renewedAt >= settings.renewPeriod
-                && renewals.keys.size() < maxRenewalsPerCommit)
-                add(state, renewals, key);
+                && renewals.keys.size() < maxRenewalsPerTransaction)
+                addLease(state, renewals, key);
             continue;
         }
-        if (around.leaving || !isWanted || !wantsToTake(lease, settings, ownRank, now))
+        if (cluster.leaving || !needsHolder || !shouldAcquire(lease, settings, ownRank, now))
             continue;
-        Attempt take { AttemptKind::Take, {}, {}, now };
-        add(state, take, key);
-        attempts.push_back(std::move(take));
+        Attempt acquire { AttemptKind::Take, {}, {}, now };
+        addLease(state, acquire, key);
+        attempts.push_back(std::move(acquire));
     }
     for (auto* attempt : { &renewals, &releases }) {
         if (!attempt->keys.empty())
@@ -148,12 +150,12 @@
             const bool isLost = error.failure == PlatformFailure::Conflict && error.key == leaseKey(key);
             if (isLost || error.failure == PlatformFailure::OutcomeUnknown)
                 lease.held = false;
-            // A free lease is tried again only after it was seen anew for a while.
+            // After a failed acquisition, restarts the wait before the next one.
             lease.unchangedSince = attempt.kind == AttemptKind::Take ? now : lease.unchangedSince;
             continue;
         }
         if (*result < lease.version)
-            continue; // A newer row has been seen since.
+            continue; // The node has read a newer row since.
         lease.content = nextContent(state, lease, attempt.kind);
         lease.version = *result;
         lease.unchangedSince = now;
@@ -162,7 +164,7 @@
         if (attempt.kind != AttemptKind::Take)
             continue;
         lease.fence = *result;
-        lease.takenAt = now;
+        lease.acquiredAt = now;
     }
 }
 
--- a/src/libkernel/lease_test.cpp
+++ b/src/libkernel/lease_test.cpp
@@ -14,7 +14,7 @@
 
 struct Node {
     State state;
-    TableVersion seen = 0;
+    TableVersion seenVersion = 0;
 };
 
 struct Fixture {
@@ -25,27 +25,27 @@
         for (const auto& [name, node] : nodes)
             members.push_back(name);
         for (std::size_t i = 0; i < members.size(); ++i)
-            byRank.push_back(*std::find_if(members.begin(), members.end(),
+            nodesByRank.push_back(*std::find_if(members.begin(), members.end(),
                 [&](const auto& member) { return rank(key, member, members) == i; }));
     }
 
-    std::vector<Attempt> decideOn(const std::string& name)
+    std::vector<Attempt> readAndPlan(const std::string& name)
     {
         auto& node = nodes[name];
-        const auto changes = table.changes(leasePrefix, node.seen);
+        const auto changes = table.changes(leasePrefix, node.seenVersion);
         for (const auto& row : changes->rows)
             observe(node.state, row, now);
-        node.seen = changes->version;
+        node.seenVersion = changes->version;
         return decide(node.state, settings, { { key }, members, now, false }, now);
     }
 
     void step(const std::string& name)
     {
-        for (const auto& attempt : decideOn(name))
+        for (const auto& attempt : readAndPlan(name))
             finish(nodes[name].state, attempt, table.commit(attempt.transaction), now);
     }
 
-    /// Runs all nodes but \p paused for \p time.
+    /// Runs all nodes except \p paused for \p time.
     void run(Duration time, const std::string& paused = "")
     {
         for (const auto end = now + time; now < end; now += 100ms) {
@@ -56,13 +56,13 @@
         }
     }
 
-    bool acts(const std::string& name) { return mayAct(nodes[name].state, settings, key, now, now); }
+    bool mayNodeAct(const std::string& name) { return mayAct(nodes[name].state, settings, key, now, now); }
 
-    int holders()
+    int holderCount()
     {
         int count = 0;
         for (const auto& [name, node] : nodes)
-            count += acts(name);
+            count += mayNodeAct(name);
         return count;
     }
 
@@ -70,80 +70,81 @@
     Settings settings;
     std::map<std::string, Node> nodes;
     std::vector<std::string> members;
-    std::vector<std::string> byRank;
+    std::vector<std::string> nodesByRank;
     TimePoint now { 1h };
 };
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(preferredNodeTakesAndKeepsTheLease, Fixture)
+BOOST_FIXTURE_TEST_CASE(preferredNodeAcquiresAndKeepsTheLease, Fixture)
 {
     run(30s);
-    BOOST_TEST(acts(byRank[0]));
-    BOOST_TEST(holders() == 1);
-    BOOST_TEST(nodes[byRank[0]].state.leases[key].content.epoch == 1u);
+    BOOST_TEST(mayNodeAct(nodesByRank[0]));
+    BOOST_TEST(holderCount() == 1);
+    BOOST_TEST(nodes[nodesByRank[0]].state.leases[key].content.epoch == 1u);
 }
 
-BOOST_FIXTURE_TEST_CASE(pausedHolderLosesTheLeaseAndItsTransactionsChangeNothing, Fixture)
+BOOST_FIXTURE_TEST_CASE(pausedHolderLosesTheLeaseAndItsTransactionsFail, Fixture)
 {
     run(10s);
-    const auto& paused = byRank[0];
-    const Transaction old { { fenceCondition(nodes[paused].state, key) }, { { "f/s/pool/pricing", "{}" } } };
+    const auto& paused = nodesByRank[0];
+    const Transaction staleTransaction { { fenceCondition(nodes[paused].state, key) },
+        { { "f/s/pool/pricing", "{}" } } };
     run(settings.length - settings.safetyMargin, paused);
-    BOOST_TEST(!acts(paused));
+    BOOST_TEST(!mayNodeAct(paused));
     run(5s, paused);
-    BOOST_TEST(acts(byRank[1]));
-    BOOST_TEST(!acts(paused));
-    BOOST_TEST(!table.commit(old).has_value());
-    // The paused node wakes with a renewal that it had decided on before it has read anything.
+    BOOST_TEST(mayNodeAct(nodesByRank[1]));
+    BOOST_TEST(!mayNodeAct(paused));
+    BOOST_TEST(!table.commit(staleTransaction).has_value());
+    // The paused node resumes and commits a renewal before it has read the lease row again.
     auto& state = nodes[paused].state;
     for (const auto& attempt : decide(state, settings, { { key }, members, now, false }, now))
         finish(state, attempt, table.commit(attempt.transaction), now);
-    BOOST_TEST(!acts(paused));
+    BOOST_TEST(!mayNodeAct(paused));
     run(1s);
-    BOOST_TEST(holders() == 1);
+    BOOST_TEST(holderCount() == 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(renewalsKeepTheFenceAndHandoverChangesIt, Fixture)
+BOOST_FIXTURE_TEST_CASE(onlyAHandoverChangesTheFencingRow, Fixture)
 {
     run(1s);
     const auto first = table.row("e/pool/pricing")->version;
     run(20s);
     BOOST_TEST(table.row("e/pool/pricing")->version == first);
-    run(20s, byRank[0]);
+    run(20s, nodesByRank[0]);
     BOOST_TEST(table.row("e/pool/pricing")->version > first);
 }
 
-BOOST_FIXTURE_TEST_CASE(nobodyTakesOrActsWithoutContact, Fixture)
+BOOST_FIXTURE_TEST_CASE(noNodeAcquiresOrActsWithoutTableContact, Fixture)
 {
     run(10s);
-    const auto silent = now;
+    const auto lastContact = now;
     now += settings.length * 3;
     for (auto& [name, node] : nodes) {
-        BOOST_TEST(decide(node.state, settings, { { key }, members, silent, false }, now).empty());
-        BOOST_TEST(!mayAct(node.state, settings, key, silent, now));
+        BOOST_TEST(decide(node.state, settings, { { key }, members, lastContact, false }, now).empty());
+        BOOST_TEST(!mayAct(node.state, settings, key, lastContact, now));
     }
     run(10s);
-    BOOST_TEST(holders() == 1);
+    BOOST_TEST(holderCount() == 1);
 }
 
 BOOST_FIXTURE_TEST_CASE(leaseReturnsToThePreferredNode, Fixture)
 {
-    run(30s, byRank[0]);
-    BOOST_TEST(acts(byRank[1]));
+    run(30s, nodesByRank[0]);
+    BOOST_TEST(mayNodeAct(nodesByRank[1]));
     run(30s);
-    BOOST_TEST(acts(byRank[0]));
-    BOOST_TEST(holders() == 1);
+    BOOST_TEST(mayNodeAct(nodesByRank[0]));
+    BOOST_TEST(holderCount() == 1);
 }
 
 BOOST_AUTO_TEST_CASE(leasesSpreadOverMembers)
 {
     const std::vector<std::string> members { "a", "b", "c", "d", "e", "f", "g", "h" };
-    std::map<std::string, int> held;
+    std::map<std::string, int> keysPreferred;
     for (int i = 0; i < 800; ++i) {
         for (const auto& member : members)
-            held[member] += rank("pool/p" + std::to_string(i), member, members) == 0;
+            keysPreferred[member] += rank("pool/p" + std::to_string(i), member, members) == 0;
     }
-    for (const auto& [member, count] : held)
+    for (const auto& [member, count] : keysPreferred)
         BOOST_TEST((count > 60 && count < 140), member << " holds " << count);
 }
--- a/src/libkernel/membership.cpp
+++ b/src/libkernel/membership.cpp
@@ -6,16 +6,16 @@
 namespace damask::membership {
 namespace {
 
-constexpr std::size_t recordBytes = 36;
-constexpr std::size_t loadBytes = 14;
+constexpr std::size_t heartbeatBaseBytes = 36;
+constexpr std::size_t loadBaseBytes = 14;
 
 bool isNewer(const Heartbeat& a, const Heartbeat& b)
 {
     return std::tie(a.incarnation, a.sequence) > std::tie(b.incarnation, b.sequence);
 }
 
-/// Whether a later process uses the address of \p heartbeat under another name.
-bool hasLostAddress(const State& state, const Heartbeat& heartbeat)
+/// Whether a later process with another name uses the address of \p heartbeat.
+bool isAddressReused(const State& state, const Heartbeat& heartbeat)
 {
     if (heartbeat.address.port == 0)
         return false;
@@ -26,8 +26,8 @@
     });
 }
 
-/// Drops members whose address \p heartbeat, of a later process, has taken.
-void dropEarlierUsers(State& state, const Heartbeat& heartbeat)
+/// Removes members whose address the sender of \p heartbeat, a later process, now uses.
+void removeEarlierAddressUsers(State& state, const Heartbeat& heartbeat)
 {
     if (heartbeat.address.port == 0)
         return;
@@ -37,8 +37,9 @@
     });
 }
 
-/// Keeps the loads from \p first on, wrapping round, that fit into \p bytes; moves \p first past them.
-void keepLoads(std::vector<PoolLoad>& loads, std::size_t bytes, std::size_t& first)
+/// Keeps as many loads as fit into \p bytes, starting at index \p first and wrapping round. Advances
+/// \p first past them.
+void truncateLoads(std::vector<PoolLoad>& loads, std::size_t bytes, std::size_t& first)
 {
     if (loads.empty())
         return;
@@ -47,7 +48,7 @@
     first %= loads.size();
     for (std::size_t i = 0; i < loads.size(); ++i) {
         auto& load = loads[(first + i) % loads.size()];
-        used += loadBytes + load.pool.size();
+        used += loadBaseBytes + load.pool.size();
         if (used > bytes)
             break;
         kept.push_back(std::move(load));
@@ -56,19 +57,19 @@
     loads = std::move(kept);
 }
 
-/// Adds the loads of \p known for pools that \p heartbeat does not tell of.
-void keepKnownLoads(Heartbeat& heartbeat, const Heartbeat& known)
+/// Adds the known loads of pools that \p heartbeat does not contain, if the incarnation is the same.
+void mergeKnownLoads(Heartbeat& heartbeat, const Heartbeat& known)
 {
     if (heartbeat.incarnation != known.incarnation)
         return;
-    const auto told = heartbeat.loads;
+    const auto reported = heartbeat.loads;
     for (const auto& load : known.loads) {
-        const bool isTold = std::any_of(
-            told.begin(), told.end(), [&](const PoolLoad& other) { return other.pool == load.pool; });
-        if (!isTold)
+        const bool isReported = std::any_of(
+            reported.begin(), reported.end(), [&](const PoolLoad& other) { return other.pool == load.pool; });
+        if (!isReported)
             heartbeat.loads.push_back(load);
     }
-    // A fixed order, so that passing on in parts reaches every pool.
+    // A fixed order ensures that successive truncated heartbeats cover every pool.
     std::sort(heartbeat.loads.begin(), heartbeat.loads.end(),
         [](const PoolLoad& a, const PoolLoad& b) { return a.pool < b.pool; });
 }
@@ -79,32 +80,32 @@
 {
     if (heartbeat.node == state.self) {
         if (heartbeat.incarnation <= state.incarnation)
-            return Verdict::Old;
+            return Verdict::Stale;
         state.superseded = true;
         return Verdict::Superseded;
     }
-    if (hasLostAddress(state, heartbeat))
-        return Verdict::Old;
+    if (isAddressReused(state, heartbeat))
+        return Verdict::Stale;
     auto found = state.members.find(heartbeat.node);
     if (found != state.members.end() && !isNewer(heartbeat, found->second.heartbeat))
-        return Verdict::Old;
+        return Verdict::Stale;
     if (heartbeat.age >= state.limits.forgetAfter)
-        return Verdict::Old;
+        return Verdict::Stale;
     if (found == state.members.end() && state.members.size() >= state.limits.members)
-        return Verdict::Old;
-    dropEarlierUsers(state, heartbeat);
+        return Verdict::Stale;
+    removeEarlierAddressUsers(state, heartbeat);
     found = state.members.find(heartbeat.node);
     PeerView view { heartbeat, now - heartbeat.age };
     if (found != state.members.end()) {
-        keepKnownLoads(view.heartbeat, found->second.heartbeat);
+        mergeKnownLoads(view.heartbeat, found->second.heartbeat);
         view.nextLoad = found->second.nextLoad;
-        view.lastPassedOn = found->second.lastPassedOn;
+        view.lastForwarded = found->second.lastForwarded;
     }
     state.members[heartbeat.node] = std::move(view);
     return Verdict::Newer;
 }
 
-std::chrono::milliseconds suspicionTime(const State& state)
+std::chrono::milliseconds suspicionTimeout(const State& state)
 {
     const auto members = static_cast<std::int64_t>(state.members.size());
     return std::max(state.limits.suspectAfter, state.limits.suspectAfterPerMember * members);
@@ -112,7 +113,7 @@
 
 Phase phase(const State& state, const PeerView& view, TimePoint now)
 {
-    if (now - view.lastHeard >= suspicionTime(state))
+    if (now - view.lastHeard >= suspicionTimeout(state))
         return Phase::Suspected;
     return view.heartbeat.leaving ? Phase::Leaving : Phase::Live;
 }
@@ -125,7 +126,7 @@
 
 void limitOwnLoads(State& state, Heartbeat& self)
 {
-    keepLoads(self.loads, state.limits.ownLoadBytes, state.nextOwnLoad);
+    truncateLoads(self.loads, state.limits.ownLoadBytes, state.nextOwnLoad);
 }
 
 std::vector<Heartbeat> digest(State& state, TimePoint now)
@@ -136,21 +137,22 @@
             known.push_back(&view);
     }
     std::sort(known.begin(), known.end(), [](const PeerView* a, const PeerView* b) {
-        return std::tuple(!a->hasNews, a->lastPassedOn) < std::tuple(!b->hasNews, b->lastPassedOn);
+        return std::tuple(!a->hasUnsentUpdate, a->lastForwarded)
+            < std::tuple(!b->hasUnsentUpdate, b->lastForwarded);
     });
     std::vector<Heartbeat> out;
     std::size_t bytes = 0;
     for (auto* view : known) {
-        auto record = view->heartbeat;
+        auto heartbeat = view->heartbeat;
         auto nextLoad = view->nextLoad;
-        keepLoads(record.loads, out.empty() ? state.limits.passedLoadBytes : 0, nextLoad);
-        bytes += encodedSize(record);
+        truncateLoads(heartbeat.loads, out.empty() ? state.limits.forwardedLoadBytes : 0, nextLoad);
+        bytes += encodedSize(heartbeat);
         if (bytes > state.limits.digestBytes)
             break;
-        view->hasNews = false;
-        view->lastPassedOn = now;
+        view->hasUnsentUpdate = false;
+        view->lastForwarded = now;
         view->nextLoad = nextLoad;
-        out.push_back(std::move(record));
+        out.push_back(std::move(heartbeat));
         out.back().age = std::chrono::duration_cast<std::chrono::milliseconds>(now - view->lastHeard);
     }
     return out;
@@ -167,9 +169,9 @@
 
 std::size_t encodedSize(const Heartbeat& heartbeat)
 {
-    std::size_t bytes = recordBytes + heartbeat.node.size() + heartbeat.dataCentre.size();
+    std::size_t bytes = heartbeatBaseBytes + heartbeat.node.size() + heartbeat.dataCentre.size();
     for (const auto& load : heartbeat.loads)
-        bytes += loadBytes + load.pool.size();
+        bytes += loadBaseBytes + load.pool.size();
     return bytes;
 }
 
--- a/src/libkernel/move.cpp
+++ b/src/libkernel/move.cpp
@@ -6,41 +6,44 @@
 namespace damask::move {
 namespace {
 
-/// Extra cover when only roll-out time counts, as a share of the cover.
-constexpr double maxRolloutCover = 0.1;
-/// How much better covered than the receiver a giving pool without surplus must remain.
-constexpr double scarceRatio = 0.85;
-/// Demand that a busy slot stands for in addition while a request waits for it. Refused requests leave
-/// no other trace in a saturated pool.
-constexpr double queuedShare = 0.1;
+/// Relative increase of Settings::peakCover when only roll-out time has weight.
+constexpr double maxRolloutHeadroom = 0.1;
+/// A donor without surplus must keep its need per VM below this fraction of the receiver's.
+constexpr double maxNeedRatioWithoutSurplus = 0.85;
+/// Demand in slots that each queued request adds, for at most as many requests as there are busy slots.
+/// In a saturated pool the queue is the only sign of the requests that it refuses.
+constexpr double queuedDemandWeight = 0.1;
 
-double held(const Pool& pool) { return double(pool.vms) + double(pool.arriving); }
+double expectedVms(const Pool& pool) { return double(pool.vms) + double(pool.arriving); }
 
-double pressure(double need, double vms) { return need / std::max(vms, 1e-9); }
+double needPerVm(double need, double vms) { return need / std::max(vms, 1e-9); }
 
-/// Index of the pool with the largest need for each VM held, if it holds less than its need.
+/// Index of the pool with the largest need per VM, among pools that hold less than their need.
 std::optional<std::size_t> chooseReceiver(const std::vector<Pool>& pools, const std::vector<double>& needs)
 {
     std::optional<std::size_t> best;
     for (std::size_t i = 0; i < pools.size(); ++i) {
-        if (held(pools[i]) >= needs[i])
+        if (expectedVms(pools[i]) >= needs[i])
             continue;
-        if (!best || pressure(needs[i], held(pools[i])) > pressure(needs[*best], held(pools[*best])))
+        if (!best
+            || needPerVm(needs[i], expectedVms(pools[i]))
+                > needPerVm(needs[*best], expectedVms(pools[*best])))
             best = i;
     }
     return best;
 }
 
-bool mayGive(const std::vector<Pool>& pools, const std::vector<double>& needs, std::size_t donor,
+bool mayDonate(const std::vector<Pool>& pools, const std::vector<double>& needs, std::size_t donor,
     std::size_t receiver, double hysteresisVms)
 {
     const Pool& pool = pools[donor];
     if (donor == receiver || pool.vms == 0 || pool.vms <= pool.minVms)
         return false;
-    const double left = held(pool) - 1;
-    if (left >= needs[donor] + hysteresisVms)
+    const double vmsAfterMove = expectedVms(pool) - 1;
+    if (vmsAfterMove >= needs[donor] + hysteresisVms)
         return true;
-    return pressure(needs[donor], left) < scarceRatio * pressure(needs[receiver], held(pools[receiver]));
+    return needPerVm(needs[donor], vmsAfterMove)
+        < maxNeedRatioWithoutSurplus * needPerVm(needs[receiver], expectedVms(pools[receiver]));
 }
 
 std::optional<std::size_t> chooseDonor(const std::vector<Pool>& pools, const std::vector<double>& needs,
@@ -48,12 +51,12 @@
 {
     std::optional<std::size_t> best;
     for (std::size_t i = 0; i < pools.size(); ++i) {
-        if (!mayGive(pools, needs, i, receiver, hysteresisVms))
+        if (!mayDonate(pools, needs, i, receiver, hysteresisVms))
             continue;
-        const bool hasSurplus = held(pools[i]) - 1 >= needs[i] + hysteresisVms;
+        const bool hasSurplus = expectedVms(pools[i]) - 1 >= needs[i] + hysteresisVms;
         if (pools[i].spare && hasSurplus)
             return i;
-        if (!best || held(pools[i]) - needs[i] > held(pools[*best]) - needs[*best])
+        if (!best || expectedVms(pools[i]) - needs[i] > expectedVms(pools[*best]) - needs[*best])
             best = i;
     }
     return best;
@@ -61,39 +64,40 @@
 
 } // namespace
 
-void observe(State& state, const std::vector<Pool>& pools, Duration smoothing, TimePoint now)
+void updateDemand(State& state, const std::vector<Pool>& pools, Duration smoothing, TimePoint now)
 {
-    if (state.started == TimePoint {})
-        state.updated = state.started = now;
-    const double elapsed = std::chrono::duration<double>(now - state.updated).count();
-    const double share = 1 - std::exp(-elapsed / std::chrono::duration<double>(smoothing).count());
-    state.updated = now;
-    state.weight += share * (1 - state.weight);
+    if (state.startedAt == TimePoint {})
+        state.updatedAt = state.startedAt = now;
+    const double elapsed = std::chrono::duration<double>(now - state.updatedAt).count();
+    const double sampleWeight = 1 - std::exp(-elapsed / std::chrono::duration<double>(smoothing).count());
+    state.updatedAt = now;
+    state.totalWeight += sampleWeight * (1 - state.totalWeight);
     for (const auto& pool : pools) {
-        const double present = pool.busySlots + queuedShare * std::min(pool.queued, pool.busySlots);
-        double& sum = state.weightedDemand[pool.name];
-        sum += share * (present - sum);
+        const double currentDemand
+            = pool.busySlots + queuedDemandWeight * std::min(pool.queued, pool.busySlots);
+        double& mean = state.weightedDemand[pool.name];
+        mean += sampleWeight * (currentDemand - mean);
     }
 }
 
 double smoothedDemand(const State& state, std::string_view pool)
 {
     const auto it = state.weightedDemand.find(pool);
-    if (it == state.weightedDemand.end() || state.weight <= 0)
+    if (it == state.weightedDemand.end() || state.totalWeight <= 0)
         return 0;
-    return it->second / state.weight;
+    return it->second / state.totalWeight;
 }
 
-double cover(const Settings& settings)
+double headroomFactor(const Settings& settings)
 {
-    const double sum = settings.weights.buffer + settings.weights.rollout;
-    const double rolloutShare = sum > 0 ? settings.weights.rollout / sum : 0;
-    return settings.peakCover * (1 + maxRolloutCover * rolloutShare);
+    const double weightSum = settings.weights.buffer + settings.weights.rollout;
+    const double rolloutShare = weightSum > 0 ? settings.weights.rollout / weightSum : 0;
+    return settings.peakCover * (1 + maxRolloutHeadroom * rolloutShare);
 }
 
-double neededVms(const Pool& pool, double demandSlots, double cover)
+double neededVms(const Pool& pool, double demandSlots, double headroomFactor)
 {
-    return std::max(double(pool.minVms), demandSlots * cover / pool.slotsPerVm);
+    return std::max(double(pool.minVms), demandSlots * headroomFactor / pool.slotsPerVm);
 }
 
 std::vector<Move> balance(std::vector<Pool> pools, const std::vector<double>& needs, const Settings& settings)
--- a/src/libkernel/move_test.cpp
+++ b/src/libkernel/move_test.cpp
@@ -14,7 +14,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(sparePoolGivesFirst)
+BOOST_AUTO_TEST_CASE(sparePoolDonatesFirst)
 {
     const auto moves = balance(pools(), { 4.5, 1, 2 }, {});
     BOOST_REQUIRE(moves.size() == 1u);
@@ -27,7 +27,7 @@
     BOOST_TEST(balance(pools(), { 4.5, 4, 4 }, {}).empty());
 }
 
-BOOST_AUTO_TEST_CASE(movesUnderWayAreLimited)
+BOOST_AUTO_TEST_CASE(concurrentMovesAreLimited)
 {
     auto given = pools();
     given[0].arriving = 3;
@@ -41,7 +41,7 @@
     TimePoint now { std::chrono::hours(1) };
     for (int second = 0; second < 600; ++second) {
         const double busy = second % 10 == 0 ? 50 : 0;
-        observe(state, { { "pricing", busy } }, std::chrono::minutes(10), now);
+        updateDemand(state, { { "pricing", busy } }, std::chrono::minutes(10), now);
         now += std::chrono::seconds(1);
     }
     BOOST_TEST(smoothedDemand(state, "pricing") == 5.0, boost::test_tools::tolerance(0.05));
--- a/src/reactive.move/reactive_move.cpp
+++ b/src/reactive.move/reactive_move.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Move policy "reactive", a baseline: chases the demand of the moment, queue included.
+/// Move policy "reactive", a baseline: follows the current demand, queued requests included, without
+/// smoothing.
 #include <damaskworks/move.h>
 #include <damaskworks/registry.h>
 
--- a/src/static.move/static_move.cpp
+++ b/src/static.move/static_move.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Move policy "static", a baseline: no VM ever moves.
+/// Move policy "static", a baseline: never moves a VM.
 #include <damaskworks/move.h>
 #include <damaskworks/registry.h>
 
