--- a/src/include/damaskworks/adapter.h
+++ b/src/include/damaskworks/adapter.h
@@ -1,5 +1,6 @@
 /// \file
-/// What damaskworks needs to know of a deployment's platform. Adapters are plug-ins found by name.
+/// Interface to the platform of a deployment: the translation of its messages and the clients of its
+/// services. Adapters are plug-ins and are looked up by name.
 #pragma once
 
 #include <damaskworks/deployment.h>
@@ -18,47 +19,53 @@
 
 namespace damask::fleet {
 
-/// Something that a text from outside holds and that can't be used.
+/// An invalid or missing value in a request, a table row or the settings file.
 struct FormatError {
     std::string field;
     std::string value;
-    std::string allowed;
+    std::string allowed; ///< what the field may hold
 };
 
 /// `field=<field> value=<value>: <allowed>`.
 std::string describe(const FormatError& error);
 
-/// What a caller asks for.
+/// What a caller's request does.
 enum class CallerAction { Submit, ReadState, Cancel, CountPending, Unsupported };
 
-/// Translation of callers' requests and of the rows that others write into the table.
+/// Decodes callers' requests and the table rows that VMs and operators write, and encodes the answers.
 class Codec {
 public:
     virtual ~Codec() = default;
-    /// Action and job id of a request whose path goes on with \p rest after the queue's prefix.
-    virtual CallerAction action(std::string_view method, std::string_view rest) const = 0;
-    /// The job in the body of a submission; id, queue, pool and time of acceptance are left empty.
+    /// Action of a request; \p pathSuffix is its path after the queue's prefix: a job id or nothing.
+    virtual CallerAction action(std::string_view method, std::string_view pathSuffix) const = 0;
+    /// Decodes the body of a submission; leaves the job's id, queue, pool and time of acceptance empty.
     virtual tl::expected<JobSpec, FormatError> decodeSubmission(std::string_view body) const = 0;
-    /// How long the caller waits for an answer; nothing if it does not say.
+    /// How long the caller waits for an answer; nothing if the request does not say or the value is invalid.
     virtual std::optional<milliseconds> callerDeadline(const HttpRequest& request) const = 0;
     virtual std::string encodeState(JobState state) const = 0;
+    /// Encodes the number of jobs in a queue that have not ended.
     virtual std::string encodePending(std::size_t jobs) const = 0;
-    /// A VM's registration.
+    /// Decodes the row by which a VM registers.
     virtual tl::expected<VmEntry, FormatError> decodeVm(const TableRow& row) const = 0;
     virtual tl::expected<FleetConfig, FormatError> decodeConfig(const TableRow& row) const = 0;
     virtual tl::expected<WaveRequest, FormatError> decodeWave(const TableRow& row) const = 0;
-    /// Text by which operators see how far a wave is.
+    /// Encodes the status row that shows operators the state of a wave.
     virtual std::string encodeWaveState(std::int64_t wave, bool completed) const = 0;
-    /// Names of tables and rows that others write.
+    /// Table of the VMs' registrations.
     virtual const std::string& vmTable() const = 0;
+    /// Table with the operators' configuration and wave requests.
     virtual const std::string& operatorTable() const = 0;
+    /// Table with the status rows that operators read.
     virtual const std::string& statusTable() const = 0;
+    /// Whether a row of operatorTable() holds the configuration.
     virtual bool isConfigKey(std::string_view key) const = 0;
+    /// Whether a row of operatorTable() holds a wave request.
     virtual bool isWaveKey(std::string_view key) const = 0;
+    /// Key of a wave's row in statusTable().
     virtual std::string waveStatusKey(std::int64_t wave) const = 0;
 };
 
-/// Access to one deployment's platform.
+/// Clients of one deployment's platform.
 struct Adapter {
     std::unique_ptr<Codec> codec;
     std::unique_ptr<SharedTable> table;
@@ -69,7 +76,7 @@
 
 /// An adapter plug-in.
 struct AdapterPlugin {
-    /// Reads the settings from a file; all errors at once.
+    /// Reads the settings file; returns all errors, not just the first.
     std::function<tl::expected<NodeSettings, std::vector<FormatError>>(const std::string& path)> readSettings;
     std::function<Adapter(event_base* base, const NodeSettings& settings)> open;
 };
--- a/src/include/damaskworks/deployment.h
+++ b/src/include/damaskworks/deployment.h
@@ -1,5 +1,5 @@
 /// \file
-/// What a process is told about its place: its settings, and the operators' configuration.
+/// Settings of a process, and the configuration that operators write for the whole fleet.
 #pragma once
 
 #include <damaskworks/http.h>
@@ -18,50 +18,51 @@
 struct NodeSettings {
     std::string node;
     std::string dataCentre;
-    Address callers; ///< where callers connect
-    Address readiness; ///< where the balancer asks whether the node takes connections
-    Address table;
-    Address machines;
-    Address advice;
-    std::string ip;
-    std::uint16_t firstInnerPort = 0; ///< of the ports free for the system's own use
+    Address callers; ///< listening address for callers
+    Address readiness; ///< listening address for the load balancer's readiness probes
+    Address table; ///< of the shared table's service
+    Address machines; ///< of the machine control service
+    Address advice; ///< of the advice service
+    std::string ip; ///< of this node
+    std::uint16_t firstInternalPort = 0; ///< first port of the range for the system's own use
     milliseconds stopGrace { 0 }; ///< from SIGTERM to SIGKILL
-    milliseconds maxLease { 0 }; ///< longest lease of a VM's tasks
-    milliseconds stateKept { 0 }; ///< how long the state of an ended job can be asked for
-    double cpuShare = 1; ///< of a core
-    double linkMbps = 1000; ///< of the node's own link
-    int rowBytes = 0; ///< largest value of a table row
+    milliseconds maxLease { 0 }; ///< longest lease that a VM grants for its tasks
+    milliseconds endedJobRetention { 0 }; ///< how long callers can read the state of an ended job
+    double cpuShare = 1; ///< cores that the process may use
+    double linkMbps = 1000; ///< bandwidth of the node's network link
+    int maxRowBytes = 0; ///< largest value of a table row
 };
 
-/// How the advice service treats the steps of a queue.
+/// How the advice service answers about the steps of a queue.
 struct AdviceTerms {
-    milliseconds decision { 0 }; ///< an answer takes this long ...
-    milliseconds perVm { 0 }; ///< ... and this much more for each VM asked about
-    milliseconds validFor { 0 }; ///< of a ticket
+    milliseconds decision { 0 }; ///< latency of an answer, without that for each VM
+    milliseconds perVm { 0 }; ///< additional latency for each VM in the question
+    milliseconds validFor { 0 }; ///< lifetime of a ticket
 };
 
-/// A queue of jobs.
+/// A queue of jobs. The latency objective of a job is `stretch` times the run time of its longest chain of
+/// steps, plus `latencyTarget`.
 struct Queue {
     std::string name;
     std::string host;
-    std::string prefix; ///< of the path; the rest is the job's id
-    std::string pool; ///< that runs its jobs
-    int priority = 0; ///< 0 comes first
-    int maxAttempts = 1; ///< failed runs after which a task is given up
-    double stretch = 1; ///< objective: this many times the job's longest chain ...
-    milliseconds latencyTarget { 0 }; ///< ... and this much more
-    milliseconds timeout { 0 }; ///< longest time for one request
-    std::optional<AdviceTerms> advice; ///< set: only VMs with a ticket may run its steps
+    std::string prefix; ///< of the request path; the job's id follows it
+    std::string pool; ///< whose VMs run the queue's jobs
+    int priority = 0; ///< 0 is the highest
+    int maxAttempts = 1; ///< a task fails for good after this many failed runs
+    double stretch = 1; ///< factor of the latency objective
+    milliseconds latencyTarget { 0 }; ///< constant part of the latency objective
+    milliseconds timeout { 0 }; ///< longest duration of one request
+    std::optional<AdviceTerms> advice; ///< if set, only VMs with a ticket may run the queue's steps
 };
 
 /// A pool of VMs.
 struct Pool {
     std::string name;
-    bool standby = false; ///< its VMs are off until they are moved to another pool
-    bool enforcesCapacity = false;
+    bool standby = false; ///< the pool's VMs stay off until they move to another pool
+    bool enforcesCapacity = false; ///< the pool's VMs refuse tasks beyond their capacity
 };
 
-/// The operators' configuration.
+/// The configuration that operators write.
 struct FleetConfig {
     std::int64_t version = 0;
     std::vector<Queue> queues;
@@ -69,16 +70,17 @@
     std::size_t maxBodyBytes = 0;
     std::size_t maxHeaderBytes = 0;
 
-    /// The queue with the longest prefix of \p path at \p host; nullptr if there is none.
+    /// The queue at \p host with the longest prefix that matches \p path; nullptr if there is none.
     const Queue* route(std::string_view host, std::string_view path) const;
+    /// The queue called \p name; nullptr if there is none.
     const Queue* queue(std::string_view name) const;
 };
 
-/// Machines that are due for maintenance.
+/// An operator's request to maintain a group of machines.
 struct WaveRequest {
     std::int64_t number = 0;
     std::vector<std::string> machines;
-    milliseconds duration { 0 };
+    milliseconds duration { 0 }; ///< time in which the wave should complete
     int maxDown = 1; ///< machines of the wave that may be down at once
 };
 
--- a/src/include/damaskworks/endpoint_control.h
+++ b/src/include/damaskworks/endpoint_control.h
@@ -1,5 +1,6 @@
 /// \file
-/// Control of the tasks on endpoint VMs, and of the VMs themselves.
+/// Clients of the endpoint VMs, the advice service and the machine control service. VM clocks count
+/// milliseconds; processors are counted in thousandths of a core.
 #pragma once
 
 #include <damaskworks/http.h>
@@ -14,37 +15,37 @@
 
 namespace damask::fleet {
 
-/// A VM as its own registration describes it.
+/// A VM as it registered itself.
 struct VmEntry {
-    std::string id; ///< one life of a machine
-    std::string machine; ///< that the VM runs on
+    std::string id; ///< differs for each boot of a machine
+    std::string machine; ///< machine that the VM runs on
     std::string pool;
     Address address;
     std::string dataCentre;
     Resources capacity;
     std::vector<std::string> labels;
-    std::string rack; ///< the label that names the rack
+    std::string rack; ///< empty if no label names it
     bool draining = false;
-    std::int64_t born = 0; ///< start of this boot, milliseconds since 1970; 0: not said
+    std::int64_t born = 0; ///< time of boot, milliseconds since the Unix epoch; 0: unknown
 };
 
-/// A run of a task on a VM.
+/// A run of a task on a VM, as the VM reports it.
 struct RunReport {
     TaskId task;
-    std::uint32_t run = 0;
+    std::uint32_t run = 0; ///< rises with each run of the task
     std::string checkpoint;
-    int percent = 0; ///< progress; of a long-running task its readiness, 100 when at work
-    std::int64_t load = 0; ///< long-running: tail latency, ms; else thousandths of a core in use
+    int percent = 0; ///< progress; for a long-running task its readiness, 100 when it is serving
+    std::int64_t load = 0; ///< long-running task: tail latency, ms; else thousandths of a core in use
 };
 
 /// How a run ended.
 enum class EndKind {
     Done,
     Failed,
-    Stopped, ///< by our order
-    Lapsed, ///< the VM's lease ran out
-    Broken, ///< another member of the gang ended
-    Alone, ///< the other members of the gang did not come in time
+    Stopped, ///< by a stop command
+    Lapsed, ///< the VM's lease expired
+    Broken, ///< another task of its gang ended
+    Alone, ///< the other tasks of its gang did not start in time
 };
 
 inline constexpr NameTable<EndKind, 6> endKindNames { {
@@ -56,60 +57,60 @@
     { EndKind::Alone, "alone" },
 } };
 
-/// The end of a run, listed by the VM until it is acknowledged.
+/// The end of a run. The VM reports it until the pool's holder acknowledges it.
 struct EndReport {
-    std::uint64_t number = 0; ///< rises within one boot of the VM
+    std::uint64_t number = 0; ///< sequence number; starts again at each boot of the VM
     TaskId task;
     std::uint32_t run = 0;
     EndKind kind = EndKind::Done;
     std::string checkpoint;
 };
 
-/// What a VM says it runs.
+/// A VM's answer to a heartbeat.
 struct VmReport {
     milliseconds vmClock { 0 }; ///< steady clock of the VM
-    std::int64_t born = 0;
+    std::int64_t born = 0; ///< as in VmRegistration
     std::vector<RunReport> running;
-    std::vector<EndReport> ended;
+    std::vector<EndReport> ended; ///< ends that are not yet acknowledged
 };
 
-/// Identifies the VM that a call is meant for, and the caller's right to give orders.
+/// The VM that a command is for, and the fencing token that authorises the command.
 struct VmTarget {
     Address address;
-    std::string vm;
+    std::string vm; ///< id; another VM at the address refuses the command
     std::uint64_t fence = 0; ///< fencing token of the pool's holder
 };
 
-/// Order to start one run.
+/// Starts one run.
 struct StartOrder {
     TaskId task;
     std::uint32_t run = 0;
     std::string spec;
     std::string checkpoint;
-    std::string ticket; ///< of the advice service; empty where the queue has none
-    milliseconds leaseUntil { 0 }; ///< on the VM's clock
+    std::string ticket; ///< from the advice service; empty if the queue needs none
+    milliseconds leaseUntil { 0 }; ///< end of the lease, on the VM's clock
 };
 
-/// Renews the lease of all that runs on a VM, acknowledges ends and asks for the lists.
+/// Renews the lease of all runs on a VM, acknowledges ends and requests a report.
 struct HoldOrder {
-    milliseconds leaseUntil { 0 }; ///< on the VM's clock; 0: the lease is left as it is
-    std::uint64_t acknowledged = 0; ///< ends up to this number are durable
-    milliseconds wait { 0 }; ///< longest wait for an end
+    milliseconds leaseUntil { 0 }; ///< end of the lease, on the VM's clock; 0: do not renew it
+    std::uint64_t acknowledged = 0; ///< the holder has stored the ends up to this number durably
+    milliseconds wait { 0 }; ///< the VM answers after this time at the latest, or as soon as a run ends
 };
 
-/// Outcome of an order.
+/// Outcome of a command.
 enum class OrderOutcome {
     Accepted,
-    NoRoom,
-    Superseded, ///< a holder with a higher token has given orders
-    OldRun, ///< the run was stopped or has ended there, or a later one has
-    Late, ///< the lease in the order was over
-    WrongVm, ///< another boot answers at the address
-    BadTicket,
-    Refused, ///< the VM is unhealthy; nothing was done
-    Unreachable, ///< no byte of the order left
-    Invalid,
-    Unknown, ///< no answer: the order may still be carried out
+    NoRoom, ///< the VM lacks the resources for the run
+    Superseded, ///< the VM has seen a higher fencing token
+    OldRun, ///< this run or a later run of the task was stopped or has ended on the VM
+    Late, ///< the lease in the command had already expired
+    WrongVm, ///< a VM with another id answered at the address
+    BadTicket, ///< the VM rejected the ticket
+    Refused, ///< the service is unhealthy, overloaded or busy; it did nothing
+    Unreachable, ///< no byte of the command was sent
+    Invalid, ///< the service rejected the command as malformed, or its answer cannot be decoded
+    Unknown, ///< no clear answer: the command may have been executed, or may still be
 };
 
 inline constexpr NameTable<OrderOutcome, 11> orderOutcomeNames { {
@@ -126,57 +127,62 @@
     { OrderOutcome::Unknown, "unknown" },
 } };
 
-/// Client of the endpoint VMs. Callbacks are called exactly once, on the loop.
+/// Client of the endpoint VMs. It calls each callback exactly once, on the event loop.
 class EndpointControl {
 public:
     using OrderCallback = std::function<void(OrderOutcome)>;
     using ReportCallback = std::function<void(tl::expected<VmReport, OrderOutcome>)>;
     virtual ~EndpointControl() = default;
-    virtual void start(const VmTarget& vm, const StartOrder& order, OrderCallback callback) = 0;
+    virtual void start(const VmTarget& vm, const StartOrder& command, OrderCallback callback) = 0;
     virtual void stop(const VmTarget& vm, const TaskId& task, std::uint32_t run, OrderCallback callback) = 0;
-    virtual void hold(const VmTarget& vm, const HoldOrder& order, ReportCallback callback) = 0;
-    /// Lets a task use \p percent of its processors.
+    virtual void hold(const VmTarget& vm, const HoldOrder& command, ReportCallback callback) = 0;
+    /// Limits a task to \p percent of its processors.
     virtual void pace(
         const VmTarget& vm, const TaskId& task, std::uint32_t run, int percent, OrderCallback callback)
         = 0;
 };
 
-/// What the advice service answers about a step.
+/// Answer of the advice service about a step.
 struct Advice {
-    std::map<std::string, std::string> tickets; ///< by VM; the others asked about may not run the step
-    milliseconds validFor { 0 };
+    std::map<std::string, std::string>
+        tickets; ///< by VM; a VM of the question that has none may not run the step
+    milliseconds validFor { 0 }; ///< lifetime of the tickets
 };
 
-/// Client of the service that knows which VMs may run a step.
+/// Client of the advice service, which decides which VMs may run a step.
 class AdviceControl {
 public:
     using AdviceCallback = std::function<void(tl::expected<Advice, OrderOutcome>)>;
     virtual ~AdviceControl() = default;
-    /// Asks about at most 100 VMs; \p expected is how long the service works on the answer.
-    virtual void ask(const StepId& step, const std::vector<std::string>& vms, milliseconds expected,
+    /// Asks which of \p vms, at most 100, may run \p step. The request times out some time after
+    /// \p expectedLatency.
+    virtual void ask(const StepId& step, const std::vector<std::string>& vms, milliseconds expectedLatency,
         AdviceCallback callback)
         = 0;
 };
 
-/// States of a machine.
+/// State of a machine.
 enum class MachineState { Up, Moving, Maintenance, Down };
 
-/// A machine; its VM changes with each move and each maintenance.
+/// A machine. Each move and each maintenance replaces its VM.
 struct Machine {
     std::string id;
     std::string pool;
     MachineState state = MachineState::Down;
-    std::string vm;
+    std::string vm; ///< id of the VM that runs on the machine
 };
 
-/// Client of the platform's control of machines.
+/// Client of the machine control service.
 class MachineControl {
 public:
     virtual ~MachineControl() = default;
+    /// Lists all machines.
     virtual void list(std::function<void(tl::expected<std::vector<Machine>, OrderOutcome>)> callback) = 0;
+    /// Moves \p machine to \p pool.
     virtual void move(const std::string& machine, const std::string& pool, std::uint64_t fence,
         EndpointControl::OrderCallback callback)
         = 0;
+    /// Starts the maintenance of \p machine as part of \p wave.
     virtual void maintain(const std::string& machine, std::int64_t wave, std::uint64_t fence,
         EndpointControl::OrderCallback callback)
         = 0;
--- a/src/include/damaskworks/shared_table.h
+++ b/src/include/damaskworks/shared_table.h
@@ -1,6 +1,6 @@
 /// \file
-/// The platform's transactional table: rows in named tables, divided into parts. A transaction
-/// touches one part.
+/// Client interface of the platform's transactional table service. A row is in a named table and, within it,
+/// in a named part (a partition). A transaction covers one part, but may cover several tables.
 #pragma once
 
 #include <damaskworks/names.h>
@@ -15,7 +15,7 @@
 
 namespace damask::fleet {
 
-/// Version of the table after a transaction, common to all tables; 0: "no such row".
+/// Number of a transaction, common to all tables. As the version of a row, 0 means that it does not exist.
 using Version = std::uint64_t;
 
 /// One row.
@@ -27,42 +27,42 @@
     bool deleted = false;
 };
 
-/// The row must have this version when the transaction commits; 0: it must not exist.
+/// Requires a row to have this version when the transaction commits; 0: the row must not exist.
 struct RowExpectation {
     std::string table;
     std::string key;
     Version version = 0;
 };
 
-/// Sets a row, or deletes it when there is no value.
+/// Sets a row, or deletes it if there is no value.
 struct TableWrite {
     std::string table;
     std::string key;
     std::optional<std::string> value;
 };
 
-/// Expectations and writes that take effect together or not at all.
+/// Writes that take effect together, and only if all preconditions hold.
 struct TableTransaction {
     std::string part;
     std::vector<RowExpectation> expectations;
     std::vector<TableWrite> writes;
 };
 
-/// Rows of one answer.
+/// Rows in one response.
 struct TableRows {
-    Version version = 0; ///< newest version covered
+    Version version = 0; ///< the rows reflect all transactions up to this one
     std::vector<TableRow> rows;
-    bool hasMore = false;
+    bool hasMore = false; ///< there are more rows than fit into the response
 };
 
 /// Why a call to the table failed.
 enum class TableFailure {
-    NotDone, ///< nothing was done
-    Overloaded, ///< nothing was done; too many calls
-    Unknown, ///< a write may have taken effect, or may yet
-    Conflict, ///< an expectation did not hold; nothing was done
-    HistoryGone, ///< the changes asked for are no longer kept
-    Invalid, ///< the answer could not be read
+    NotDone, ///< the call had no effect
+    Overloaded, ///< the call had no effect; the table limits the rate of calls
+    Unknown, ///< the write may have taken effect, or still may
+    Conflict, ///< a precondition did not hold; the call had no effect
+    HistoryGone, ///< the table no longer keeps the requested changes
+    Invalid, ///< the table rejected the call for good, or its answer cannot be decoded
 };
 
 inline constexpr NameTable<TableFailure, 6> tableFailureNames { {
@@ -77,26 +77,26 @@
 template <typename T> using TableResult = tl::expected<T, TableFailure>;
 template <typename T> using TableCallback = std::function<void(TableResult<T>)>;
 
-/// Largest number of expectations and writes in one transaction.
+/// Largest number of preconditions and writes in one transaction.
 inline constexpr std::size_t maxTransactionEntries = 100;
 
-/// Client of the table. Callbacks are called exactly once, on the loop, never from within the call.
+/// Client of the table. It calls each callback exactly once, on the event loop, never from within the call.
 class SharedTable {
 public:
     virtual ~SharedTable() = default;
-    /// Commits a transaction; gives its version.
+    /// Commits a transaction and passes its version to \p callback.
     virtual void commit(const TableTransaction& transaction, std::chrono::milliseconds timeout,
         TableCallback<Version> callback)
         = 0;
-    /// Reads rows of a part in order of key, beginning with \p from.
+    /// Reads at most \p limit rows of a part in the order of their keys, starting at \p from.
     virtual void read(const std::string& table, const std::string& part, const std::string& from, int limit,
         TableCallback<TableRows> callback)
         = 0;
-    /// Names of the parts of a table after \p after.
+    /// Lists the names of a table's parts that sort after \p after.
     virtual void parts(
         const std::string& table, const std::string& after, TableCallback<std::vector<std::string>> callback)
         = 0;
-    /// Waits for at most \p wait for rows changed after \p after.
+    /// Reads the rows that changed after \p after; waits at most \p wait for the first change.
     virtual void follow(const std::string& table, Version after, std::chrono::milliseconds wait,
         TableCallback<TableRows> callback)
         = 0;
