--- a/src/include/damaskworks/clock.h
+++ b/src/include/damaskworks/clock.h
@@ -1,6 +1,5 @@
 /// \file
-/// Time sources. Every component takes a Clock through its constructor so that tests can run on a
-/// virtual clock.
+/// Time sources. Components get a Clock passed in, so that tests can run on a manual one.
 #pragma once
 
 #include <chrono>
@@ -33,8 +32,8 @@
     }
 };
 
-/// Clock that also counts the time during which the machine was suspended, so that a lease is known
-/// to be over when the process wakes.
+/// Clock that includes the time during which the machine was suspended (CLOCK_BOOTTIME). After a resume, a
+/// process thus sees that its lease has expired.
 class BootClock final : public Clock {
 public:
     TimePoint now() const override
@@ -49,7 +48,7 @@
     }
 };
 
-/// Clock that only moves when told to.
+/// Clock for tests that moves only through advance().
 class ManualClock final : public Clock {
 public:
     TimePoint now() const override { return m_now; }
--- a/src/include/damaskworks/log_output.h
+++ b/src/include/damaskworks/log_output.h
@@ -9,21 +9,21 @@
 
 namespace damask {
 
-/// Takes over the output of log lines while it exists: lines are buffered and written to a
-/// descriptor as it accepts them. Lines that don't fit into the buffer are dropped and counted;
-/// the count is logged as `log_lines_dropped` once there is room again.
+/// Receives all log lines while it exists, buffers them and writes them to a non-blocking descriptor. It
+/// drops and counts lines that do not fit into the buffer, and logs the count as `log_lines_dropped` once the
+/// buffer is empty. At most one instance may exist.
 class LogOutput {
 public:
-    /// Most bytes that wait to be written; a few thousand lines.
+    /// Size of the buffer in bytes: a few thousand lines.
     static constexpr std::size_t defaultLimit = 512 * 1024;
 
     LogOutput(event_base* base, int descriptor, std::size_t limit = defaultLimit);
     ~LogOutput();
     LogOutput(const LogOutput&) = delete;
     LogOutput& operator=(const LogOutput&) = delete;
-    /// Lines dropped so far.
+    /// Number of lines dropped so far.
     std::uint64_t dropped() const;
-    /// Writes what the descriptor accepts now.
+    /// Writes as much of the buffer as the descriptor accepts now.
     void flush();
 
     struct Impl;
--- a/src/include/damaskworks/metrics.h
+++ b/src/include/damaskworks/metrics.h
@@ -11,7 +11,7 @@
 
 namespace damask {
 
-/// Summary of one distribution.
+/// Count, sum and estimated quantiles of a distribution.
 struct DistributionSummary {
     std::uint64_t count = 0;
     double sum = 0;
@@ -38,16 +38,16 @@
     std::unique_ptr<State> m_state;
 };
 
-/// Metrics of one process. Names may carry labels: `requests_total{pool="pricing"}`.
+/// Metrics of one process, created on first use. Names may include labels: `requests_total{pool="pricing"}`.
 class Metrics {
 public:
     /// Adds \p amount to the counter \p name.
     void count(std::string_view name, std::uint64_t amount = 1);
-    /// Sets the gauge \p name.
+    /// Sets the gauge \p name to \p value.
     void gauge(std::string_view name, double value);
     /// Adds \p seconds to the distribution \p name.
     void observe(std::string_view name, std::chrono::duration<double> seconds);
-    /// Value of a counter; 0 if it was never counted.
+    /// Value of a counter; 0 if it does not exist.
     std::uint64_t counter(std::string_view name) const;
     /// All metrics in the text exposition format.
     std::string text() const;
--- a/src/include/damaskworks/names.h
+++ b/src/include/damaskworks/names.h
@@ -10,7 +10,7 @@
 
 namespace damask {
 
-/// A table of (value, name) pairs for one enumeration.
+/// (value, name) pairs of one enumeration.
 template <typename E, std::size_t N> using NameTable = std::array<std::pair<E, std::string_view>, N>;
 
 /// Name of \p value in \p table; "unknown" if it has no entry.
@@ -23,7 +23,7 @@
     return "unknown";
 }
 
-/// Value called \p name in \p table, if any.
+/// Value whose name in \p table is \p name, if any.
 template <typename E, std::size_t N>
 constexpr std::optional<E> valueOf(const NameTable<E, N>& table, std::string_view name)
 {
--- a/src/include/damaskworks/registry.h
+++ b/src/include/damaskworks/registry.h
@@ -1,6 +1,6 @@
 /// \file
-/// Registry of plug-ins. A plug-in registers itself under a name at static initialization and is
-/// looked up by that name at run time.
+/// Registry of plug-ins. A plug-in registers itself under a name during static initialisation; its users look
+/// it up by that name at run time.
 #pragma once
 
 #include <map>
@@ -20,7 +20,8 @@
         return registry;
     }
 
-    /// Adds \p entry under \p name; a later registration replaces an earlier one.
+    /// Adds \p entry under \p name and replaces an earlier entry of that name. Always returns true, so that
+    /// it can initialise a static variable.
     bool add(std::string_view name, Entry entry)
     {
         m_entries.insert_or_assign(std::string(name), std::move(entry));
--- a/src/include/damaskworks/trace.h
+++ b/src/include/damaskworks/trace.h
@@ -1,5 +1,5 @@
 /// \file
-/// Traces: W3C trace context, and spans handed to an exporter.
+/// Distributed tracing: W3C trace context, and spans that are passed to an exporter.
 #pragma once
 
 #include <chrono>
@@ -16,13 +16,13 @@
 
 namespace damask {
 
-/// Identity of a span within its trace, as carried by the `traceparent` header.
+/// Ids of a span and its trace, as in the `traceparent` header. Digits are in lower case.
 struct TraceContext {
     std::string traceId; ///< 32 hexadecimal digits
     std::string spanId; ///< 16 hexadecimal digits
 };
 
-/// One timed hop of a request.
+/// One timed operation of a request.
 struct Span {
     TraceContext context;
     std::string parentSpanId;
@@ -40,22 +40,22 @@
     virtual void exportSpan(const Span& span) = 0;
 };
 
-/// What a trace exporter plug-in needs.
+/// Arguments of a trace exporter plug-in's factory.
 struct TraceExporterContext {
-    event_base* base = nullptr;
+    event_base* base = nullptr; ///< event loop on which to export
     std::string target; ///< a file name or a collector's `ip:port`
 };
 
-/// Factory of a trace exporter plug-in; gives nullptr if the target can't be used.
+/// Factory of a trace exporter plug-in; returns nullptr if the target is invalid.
 using TraceExporterFactory = std::function<std::unique_ptr<TraceExporter>(const TraceExporterContext&)>;
 
 namespace trace {
 
-/// Parses a `traceparent` header; nothing if it is malformed or all zero.
+/// Parses a `traceparent` header; nothing if it is malformed or if either id is all zeros.
 std::optional<TraceContext> parse(std::string_view header);
 /// Formats a `traceparent` header.
 std::string format(const TraceContext& context);
-/// A child of \p parent, or the root of a new trace.
+/// A new child span of \p parent, or the root span of a new trace if there is none.
 TraceContext child(const std::optional<TraceContext>& parent, std::mt19937_64& random);
 /// One span as a JSON object on one line.
 std::string toJson(const Span& span);
--- a/src/libutil/log.cpp
+++ b/src/libutil/log.cpp
@@ -23,7 +23,7 @@
     return name;
 }
 
-std::string quoted(std::string_view value)
+std::string quotedIfNeeded(std::string_view value)
 {
     if (value.find_first_of(" \"=\n") == std::string_view::npos && !value.empty())
         return std::string(value);
@@ -36,18 +36,18 @@
     return out + "\"";
 }
 
-/// Calendar time in UTC with milliseconds.
+/// Current calendar time in UTC, with milliseconds.
 std::string timestamp()
 {
     const auto now = std::chrono::system_clock::now();
     const auto seconds = std::chrono::system_clock::to_time_t(now);
-    const auto fraction
+    const auto millis
         = std::chrono::duration_cast<std::chrono::milliseconds>(now.time_since_epoch()).count() % 1000;
-    std::tm parts {};
-    gmtime_r(&seconds, &parts);
+    std::tm utc {};
+    gmtime_r(&seconds, &utc);
     char text[40];
-    const auto length = std::strftime(text, sizeof text, "%Y-%m-%dT%H:%M:%S", &parts);
-    std::snprintf(text + length, sizeof text - length, ".%03d", static_cast<int>(fraction));
+    const auto length = std::strftime(text, sizeof text, "%Y-%m-%dT%H:%M:%S", &utc);
+    std::snprintf(text + length, sizeof text - length, ".%03d", static_cast<int>(millis));
     return text;
 }
 
@@ -75,11 +75,11 @@
 
 void logEvent(LogLevel level, std::string_view event, std::initializer_list<LogField> fields)
 {
-    std::string line = "event=" + quoted(event);
+    std::string line = "event=" + quotedIfNeeded(event);
     if (!nodeName().empty())
-        line += " node=" + quoted(nodeName());
+        line += " node=" + quotedIfNeeded(nodeName());
     for (const auto& field : fields)
-        line += " " + std::string(field.key) + "=" + quoted(field.value);
+        line += " " + std::string(field.key) + "=" + quotedIfNeeded(field.value);
     switch (level) {
     case LogLevel::Debug:
         LOG(DEBUG) << line;
@@ -99,72 +99,75 @@
 struct LogOutput::Impl {
     int descriptor;
     std::size_t limit;
-    std::string pending;
+    std::string buffer;
     std::uint64_t dropped = 0;
-    std::uint64_t reported = 0;
-    event* wake = nullptr;
+    std::uint64_t reportedDrops = 0;
+    event* flushTimer = nullptr;
 
     void add(std::string_view line)
     {
-        if (pending.size() + line.size() > limit) {
+        if (buffer.size() + line.size() > limit) {
             ++dropped;
             return;
         }
-        if (pending.empty())
-            event_add(wake, &flushDelay);
-        pending += line;
+        if (buffer.empty())
+            event_add(flushTimer, &flushDelay);
+        buffer += line;
     }
 
-    /// Whole lines from \p offset on, as far as a pipe takes them at once: what collects the lines may cut
-    /// longer writes. A line that is longer goes alone.
-    std::size_t nextWrite(std::size_t offset) const
+    /// Size of the next write, from \p offset on: as many whole lines as a pipe takes in one atomic write
+    /// (PIPE_BUF), because log collectors may truncate longer writes. A longer line is written by itself.
+    std::size_t nextWriteSize(std::size_t offset) const
     {
-        if (pending.size() - offset <= PIPE_BUF)
-            return pending.size() - offset;
-        auto end = pending.rfind('\n', offset + PIPE_BUF - 1);
+        if (buffer.size() - offset <= PIPE_BUF)
+            return buffer.size() - offset;
+        auto end = buffer.rfind('\n', offset + PIPE_BUF - 1);
         if (end == std::string::npos || end < offset)
-            end = pending.find('\n', offset);
-        return end == std::string::npos ? pending.size() - offset : end + 1 - offset;
+            end = buffer.find('\n', offset);
+        return end == std::string::npos ? buffer.size() - offset : end + 1 - offset;
     }
 
     void flush()
     {
-        std::size_t sent = 0;
-        while (sent < pending.size()) {
-            const auto written = ::write(descriptor, pending.data() + sent, nextWrite(sent));
-            if (written < 0 && errno == EINTR)
+        std::size_t written = 0;
+        while (written < buffer.size()) {
+            const auto result = ::write(descriptor, buffer.data() + written, nextWriteSize(written));
+            if (result < 0 && errno == EINTR)
                 continue;
-            if (written <= 0)
+            if (result <= 0)
                 break;
-            sent += static_cast<std::size_t>(written);
+            written += static_cast<std::size_t>(result);
         }
-        pending.erase(0, sent);
-        if (pending.empty() && dropped > reported) {
-            reported = dropped;
+        buffer.erase(0, written);
+        if (buffer.empty() && dropped > reportedDrops) {
+            reportedDrops = dropped;
             logEvent(LogLevel::Warning, "log_lines_dropped", { { "total", std::to_string(dropped) } });
         }
-        if (!pending.empty())
-            event_add(wake, &flushDelay);
+        if (!buffer.empty())
+            event_add(flushTimer, &flushDelay);
     }
 
-    static void onWake(evutil_socket_t, short, void* argument) { static_cast<Impl*>(argument)->flush(); }
+    static void onFlushTimer(evutil_socket_t, short, void* argument)
+    {
+        static_cast<Impl*>(argument)->flush();
+    }
 
-    /// Lines are written together; a crash loses those of this long.
+    /// Lines are collected for this time and written together; a crash loses them.
     static constexpr timeval flushDelay { 0, 20'000 };
-    static Impl* active;
+    static Impl* instance;
 };
 
-LogOutput::Impl* LogOutput::Impl::active = nullptr;
+LogOutput::Impl* LogOutput::Impl::instance = nullptr;
 
 namespace {
 
-class BoundedDispatch final : public el::LogDispatchCallback {
+class LogOutputDispatch final : public el::LogDispatchCallback {
     void handle(const el::LogDispatchData* data) override
     {
-        if (!LogOutput::Impl::active)
+        if (!LogOutput::Impl::instance)
             return;
         const auto level = el::LevelHelper::convertToString(data->logMessage()->level());
-        LogOutput::Impl::active->add(
+        LogOutput::Impl::instance->add(
             timestamp() + " level=" + level + " " + data->logMessage()->message() + "\n");
     }
 };
@@ -176,21 +179,21 @@
 LogOutput::LogOutput(event_base* base, int descriptor, std::size_t limit)
     : m_impl(new Impl { descriptor, limit })
 {
-    m_impl->wake = evtimer_new(base, Impl::onWake, m_impl.get());
+    m_impl->flushTimer = evtimer_new(base, Impl::onFlushTimer, m_impl.get());
     ::fcntl(descriptor, F_SETFL, ::fcntl(descriptor, F_GETFL) | O_NONBLOCK);
     el::Configurations configurations = *el::Loggers::getLogger("default")->configurations();
     configurations.setGlobally(el::ConfigurationType::ToStandardOutput, "false");
     el::Loggers::reconfigureLogger("default", configurations);
-    Impl::active = m_impl.get();
-    el::Helpers::installLogDispatchCallback<BoundedDispatch>(dispatchName);
+    Impl::instance = m_impl.get();
+    el::Helpers::installLogDispatchCallback<LogOutputDispatch>(dispatchName);
 }
 
 LogOutput::~LogOutput()
 {
     flush();
-    el::Helpers::uninstallLogDispatchCallback<BoundedDispatch>(dispatchName);
-    Impl::active = nullptr;
-    event_free(m_impl->wake);
+    el::Helpers::uninstallLogDispatchCallback<LogOutputDispatch>(dispatchName);
+    Impl::instance = nullptr;
+    event_free(m_impl->flushTimer);
 }
 
 std::uint64_t LogOutput::dropped() const { return m_impl->dropped; }
--- a/src/libutil/log_output_test.cpp
+++ b/src/libutil/log_output_test.cpp
@@ -1,4 +1,5 @@
-/// Bounded output of log lines.
+/// \file
+/// Tests of the buffered log output.
 #include <boost/test/unit_test.hpp>
 
 #include <damaskworks/log.h>
@@ -17,14 +18,14 @@
 
 namespace {
 
-/// A pipe that keeps writes apart, so that a test sees what each of them held.
+/// A pipe in packet mode: each read returns exactly one write.
 struct PacketPipe {
-    std::array<int, 2> ends { -1, -1 };
-    PacketPipe() { BOOST_REQUIRE(::pipe2(ends.data(), O_DIRECT | O_NONBLOCK) == 0); }
+    std::array<int, 2> descriptors { -1, -1 };
+    PacketPipe() { BOOST_REQUIRE(::pipe2(descriptors.data(), O_DIRECT | O_NONBLOCK) == 0); }
     ~PacketPipe()
     {
-        ::close(ends[0]);
-        ::close(ends[1]);
+        ::close(descriptors[0]);
+        ::close(descriptors[1]);
     }
 
     std::vector<std::string> packets() const
@@ -32,10 +33,10 @@
         std::vector<std::string> out;
         std::string buffer(PIPE_BUF, '\0');
         for (;;) {
-            const auto got = ::read(ends[0], buffer.data(), buffer.size());
-            if (got <= 0)
+            const auto length = ::read(descriptors[0], buffer.data(), buffer.size());
+            if (length <= 0)
                 return out;
-            out.emplace_back(buffer, 0, static_cast<std::size_t>(got));
+            out.emplace_back(buffer, 0, static_cast<std::size_t>(length));
         }
     }
 };
@@ -51,9 +52,10 @@
 
 BOOST_AUTO_TEST_CASE(noWriteEndsWithinALine)
 {
-    // On played days the collector kept 8 KB of each write, and the lines beyond were missing.
+    // A log collector kept only the first 8 KB of each write and lost the lines beyond. Each write must
+    // therefore be short and end with a whole line.
     const PacketPipe pipe;
-    LogOutput output(base, pipe.ends[1]);
+    LogOutput output(base, pipe.descriptors[1]);
     for (int i = 0; i < 100; ++i)
         logEvent(LogLevel::Warning, "task_start", { { "task", std::to_string(i) + std::string(100, 'x') } });
     output.flush();
@@ -70,13 +72,13 @@
 BOOST_AUTO_TEST_CASE(linesBeyondTheLimitAreDroppedAndCounted)
 {
     const PacketPipe pipe;
-    LogOutput output(base, pipe.ends[1], 1000);
+    LogOutput output(base, pipe.descriptors[1], 1000);
     for (int i = 0; i < 20; ++i)
         logEvent(LogLevel::Warning, "task_start", { { "task", std::string(100, 'x') } });
     const auto dropped = output.dropped();
     BOOST_TEST(dropped > 0u);
     output.flush();
-    output.flush(); // the line that tells of it
+    output.flush(); // writes the log_lines_dropped line, which the first flush logged
     std::string all;
     for (const auto& packet : pipe.packets())
         all += packet;
--- a/src/libutil/metrics.cpp
+++ b/src/libutil/metrics.cpp
@@ -13,6 +13,7 @@
 namespace {
 
 namespace acc = boost::accumulators;
+/// Markers of the P-square estimator; a superset of the quantiles in DistributionSummary.
 constexpr std::array<double, 5> estimatedQuantiles { 0.25, 0.5, 0.9, 0.99, 0.999 };
 
 /// Splits `name{labels}` into the name and the labels without braces.
--- a/src/libutil/settings.cpp
+++ b/src/libutil/settings.cpp
@@ -8,10 +8,10 @@
 namespace damask::settings {
 namespace {
 
-/// Debian builds Abseil for C++14, where its string_view is a type of its own.
+/// Debian builds Abseil for C++14, where absl::string_view is not std::string_view.
 absl::string_view toAbseil(std::string_view text) { return { text.data(), text.size() }; }
 
-absl::CommandLineFlag* find(std::string_view name) { return absl::FindCommandLineFlag(toAbseil(name)); }
+absl::CommandLineFlag* findFlag(std::string_view name) { return absl::FindCommandLineFlag(toAbseil(name)); }
 
 std::string environmentName(std::string_view prefix, std::string_view name)
 {
@@ -26,15 +26,16 @@
     return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-void assign(std::string_view name, std::string_view shownAs, std::string_view value,
+void assign(std::string_view name, std::string_view displayName, std::string_view value,
     std::vector<SettingError>& errors)
 {
-    auto* flag = find(name);
-    std::string problem;
-    if (flag->ParseFrom(toAbseil(value), &problem))
+    auto* flag = findFlag(name);
+    std::string parseError;
+    if (flag->ParseFrom(toAbseil(value), &parseError))
         return;
-    std::replace(problem.begin(), problem.end(), '\n', ' ');
-    errors.push_back({ std::string(shownAs), std::string(value), problem.empty() ? flag->Help() : problem });
+    std::replace(parseError.begin(), parseError.end(), '\n', ' ');
+    errors.push_back(
+        { std::string(displayName), std::string(value), parseError.empty() ? flag->Help() : parseError });
 }
 
 void readEnvironment(
@@ -74,20 +75,20 @@
                 { "--" + std::string(name), std::string(argument), "a flag listed by --help" });
             continue;
         }
-        const std::string shown = "--" + std::string(name);
+        const std::string displayName = "--" + std::string(name);
         if (equals != std::string_view::npos) {
-            assign(name, shown, argument.substr(equals + 1), result.errors);
+            assign(name, displayName, argument.substr(equals + 1), result.errors);
             continue;
         }
-        if (find(name)->IsOfType<bool>()) {
-            assign(name, shown, "true", result.errors);
+        if (findFlag(name)->IsOfType<bool>()) {
+            assign(name, displayName, "true", result.errors);
             continue;
         }
         if (i + 1 >= arguments.size()) {
-            result.errors.push_back({ shown, "", "a value after the flag" });
+            result.errors.push_back({ displayName, "", "a value after the flag" });
             continue;
         }
-        assign(name, shown, arguments[++i], result.errors);
+        assign(name, displayName, arguments[++i], result.errors);
     }
     return result;
 }
@@ -102,7 +103,7 @@
 {
     std::string out;
     for (auto name : names)
-        out += std::string(name) + "=" + find(name)->CurrentValue() + "\n";
+        out += std::string(name) + "=" + findFlag(name)->CurrentValue() + "\n";
     return out;
 }
 
@@ -110,9 +111,9 @@
     std::string_view usage, std::string_view environmentPrefix, std::span<const std::string_view> names)
 {
     std::string out(usage);
-    out += "\n\nSettings (a flag wins over its environment variable):\n";
+    out += "\n\nSettings (a flag takes precedence over its environment variable):\n";
     for (auto name : names) {
-        const auto* flag = find(name);
+        const auto* flag = findFlag(name);
         out += "  --" + std::string(name) + "  (" + environmentName(environmentPrefix, name) + ")\n      "
             + flag->Help() + " Default: '" + flag->DefaultValue() + "'.\n";
     }
--- a/src/libutil/settings_test.cpp
+++ b/src/libutil/settings_test.cpp
@@ -6,8 +6,8 @@
 #include <array>
 #include <cstdlib>
 
-ABSL_FLAG(int, test_count, 3, "A number of things, an integer.");
-ABSL_FLAG(bool, test_verbose, false, "Whether to say more.");
+ABSL_FLAG(int, test_count, 3, "Number of items, an integer.");
+ABSL_FLAG(bool, test_verbose, false, "Whether to log details.");
 
 using namespace damask;
 
@@ -36,7 +36,7 @@
     unsetenv("DAMASKTEST_TEST_COUNT");
 }
 
-BOOST_AUTO_TEST_CASE(everyWrongSettingIsReported)
+BOOST_AUTO_TEST_CASE(everyInvalidSettingIsReported)
 {
     setenv("DAMASKTEST_TEST_COUNT", "many", 1);
     auto result = readArguments({ "--test_verbose=perhaps", "--no_such_flag=1" });
--- a/src/libutil/trace.cpp
+++ b/src/libutil/trace.cpp
@@ -12,7 +12,8 @@
 
 constexpr std::size_t traceIdDigits = 32;
 constexpr std::size_t spanIdDigits = 16;
-constexpr std::size_t traceparentLength = 55;
+/// `VV-TRACEID-SPANID-FF`; versions later than 00 may append fields.
+constexpr std::size_t minTraceparentLength = 55;
 
 bool isHex(std::string_view text)
 {
@@ -21,7 +22,7 @@
 
 bool isZero(std::string_view text) { return text.find_first_not_of('0') == std::string_view::npos; }
 
-std::string hexDigits(std::uint64_t value)
+std::string toHex(std::uint64_t value)
 {
     std::ostringstream out;
     out << std::hex << std::setfill('0') << std::setw(spanIdDigits) << value;
@@ -33,7 +34,7 @@
     return std::chrono::duration_cast<std::chrono::microseconds>(time.time_since_epoch()).count();
 }
 
-/// Appends spans to a file, one JSON object a line.
+/// Appends spans to a file, one JSON object per line.
 class FileExporter final : public TraceExporter {
 public:
     explicit FileExporter(const std::string& path)
@@ -60,7 +61,7 @@
 
 std::optional<TraceContext> parse(std::string_view header)
 {
-    if (header.size() < traceparentLength || header[2] != '-' || header[35] != '-' || header[52] != '-')
+    if (header.size() < minTraceparentLength || header[2] != '-' || header[35] != '-' || header[52] != '-')
         return std::nullopt;
     const auto version = header.substr(0, 2);
     const auto traceId = header.substr(3, traceIdDigits);
@@ -80,8 +81,9 @@
 TraceContext child(const std::optional<TraceContext>& parent, std::mt19937_64& random)
 {
     TraceContext context;
-    context.traceId = parent ? parent->traceId : hexDigits(random()) + hexDigits(random() | 1);
-    context.spanId = hexDigits(random() | 1);
+    // An id must not be all zeros, so one bit is always set.
+    context.traceId = parent ? parent->traceId : toHex(random()) + toHex(random() | 1);
+    context.spanId = toHex(random() | 1);
     return context;
 }
 
--- a/src/libutil/util_test.cpp
+++ b/src/libutil/util_test.cpp
@@ -22,7 +22,7 @@
         BOOST_TEST(!trace::parse(header).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(metricsText)
+BOOST_AUTO_TEST_CASE(metricsTextListsCountersAndDistributions)
 {
     Metrics metrics;
     metrics.count("requests_total{pool=\"pricing\"}", 2);
