--- a/src/libkernel/maintenance.cpp
+++ b/src/libkernel/maintenance.cpp
@@ -159,8 +159,8 @@
     if (vm.phase == Phase::InService || now - tracker.phaseSince < settings.slowPhaseThreshold)
         return;
     pool.conditions.push_back({ "Slow",
-        "VM " + vm.name + " is still in phase " + std::string(nameOf(phaseNames, vm.phase))
-            + (vm.report && vm.report->reachable ? "" : ": the VM is unreachable") });
+        "VM " + vm.name + " is not done with phase " + std::string(nameOf(phaseNames, vm.phase))
+            + (vm.report && vm.report->reachable ? "" : ": it can't be reached") });
 }
 
 VmTracker& trackerFor(Watches& trackers, const Vm& vm, const Settings& settings, TimePoint now)
--- a/src/libkernel/maintenance_permits.cpp
+++ b/src/libkernel/maintenance_permits.cpp
@@ -39,8 +39,8 @@
             || vm.pool != pool.name)
             continue;
         if (!pool.pools.contains(vm.moveTo)) {
-            pool.conditions.push_back({ "MoveImpossible",
-                "VM " + vm.name + " cannot move: pool " + vm.moveTo + " does not exist" });
+            pool.conditions.push_back(
+                { "MoveImpossible", "VM " + vm.name + " can't move: no pool " + vm.moveTo });
             continue;
         }
         if (budget::mayDisrupt(budgetUsage(pool), vm.name))
@@ -127,7 +127,7 @@
     for (const auto& entry : pool.disruptions)
         names.push_back(entry.vm + " (" + std::string(nameOf(budget::reasonNames, entry.reason)) + ")");
     for (const auto& name : budgetUsage(pool).notReportedHealthy)
-        names.push_back(name + " (not reported healthy)");
+        names.push_back(name + " (not seen healthy)");
     return join(names);
 }
 
@@ -166,8 +166,8 @@
     wave.phase = inProgress.empty() ? WavePhase::Waiting : WavePhase::Running;
     if (wave.phase == WavePhase::Waiting)
         wave.conditions.push_back({ "BudgetExhausted",
-            "at most " + numberText(pool.maxUnavailable) + " VMs may be unavailable; out of service: "
-                + describeBlockers(pool) + "; remaining: " + join(remaining) });
+            "at most " + numberText(pool.maxUnavailable) + " VMs may be unavailable; needs healthy: "
+                + describeBlockers(pool) + "; left: " + join(remaining) });
 }
 
 } // namespace
--- a/src/libkernel/placement_pass.cpp
+++ b/src/libkernel/placement_pass.cpp
@@ -206,12 +206,12 @@
         return true;
     }
     if (isUrgent && preempt(pass, job, size)) {
-        setPhaseAndCondition(pass.state, job, Phase::Queued, "waits for preempted jobs to stop");
+        setPhaseAndCondition(pass.state, job, Phase::Queued, "waits for lower work to end");
         return false;
     }
     if (!isKnownNotToFit && !isUrgent)
         pass.sizesThatDidNotFit.push_back(size);
-    setPhaseAndCondition(pass.state, job, Phase::Queued, "waits for free capacity in pool " + job.spec.pool);
+    setPhaseAndCondition(pass.state, job, Phase::Queued, "waits for room in pool " + job.spec.pool);
     return false;
 }
 
