--- a/src/include/damaskworks/fleet_plan.h
+++ b/src/include/damaskworks/fleet_plan.h
@@ -1,6 +1,6 @@
 /// \file
-/// Decisions on machines: which go into maintenance and which change their pool. One node, the
-/// machine coordinator, takes them for the whole fleet; pools' holders empty the machines.
+/// Planning of machine maintenance and of moves between pools. One node, the machine coordinator, plans for
+/// the whole fleet; the holder of each pool drains its machines. CPU is in thousandths of a core.
 #pragma once
 
 #include <damaskworks/clock.h>
@@ -16,30 +16,33 @@
 
 namespace damask::fleet {
 
-/// What a pool's holder tells the coordinator.
+/// Load of a pool, as its holder reports it to the coordinator.
 struct PoolLoad {
-    std::int64_t waitingCpu = 0; ///< thousandths of a core that ready tasks without a place need
-    std::int64_t waitingWork = 0; ///< their work by estimate, core-milliseconds
-    std::int64_t arrivingCpu = 0; ///< that new jobs need to be worked off as fast as they come
-    std::int64_t usedCpu = 0; ///< of all VMs
-    std::int64_t servingCpu = 0; ///< part of usedCpu that long-running tasks have
-    std::int64_t waitingServingCpu = 0; ///< that long-running tasks without a place need
-    std::int64_t unfitCpu = 0; ///< that waiting tasks need which fit on no VM beside what runs there
-    int minMachines = 0; ///< least machines over which a step's tasks have to be spread
-    std::int64_t capacityCpu = 0; ///< of the VMs that take work
+    std::int64_t waitingCpu = 0; ///< needed by ready tasks that no VM runs, without long-running ones
+    std::int64_t waitingWork = 0; ///< estimated work of these tasks, core-milliseconds
+    std::int64_t arrivingCpu
+        = 0; ///< needed to finish new jobs at the rate at which they are forecast to arrive
+    std::int64_t usedCpu = 0; ///< reserved on all VMs
+    std::int64_t servingCpu = 0; ///< part of usedCpu that is reserved by long-running tasks
+    std::int64_t waitingServingCpu = 0; ///< needed by ready long-running tasks that no VM runs
+    std::int64_t unfitCpu = 0; ///< part of waitingCpu that fits on no VM beside its long-running tasks
+    int minMachines = 0; ///< fewest machines that satisfy maxPerVm of every long-running step
+    std::int64_t capacityCpu = 0; ///< of the VMs that accept work
     int workingMachines = 0; ///< number of these VMs
-    std::map<std::string, int> runs; ///< runs by machine, without entries of zero
-    std::set<std::string> serving; ///< machines with long-running tasks, or not read yet
-    /// Machines that are emptied, nothing runs there and nothing will, with the task (MachineTask::id) for
-    /// which they are. A row may be seconds old, and the machine may work again since an earlier task.
+    std::map<std::string, int> runs; ///< number of runs by machine; machines without runs are left out
+    std::set<std::string> serving; ///< machines that run long-running tasks or have not reported yet
+    /// Drained machines, which run nothing and get no tasks, with the MachineTask::id that they were drained
+    /// for. The id is needed because the row may be seconds old: a machine may have been drained for an
+    /// earlier task and run tasks again since.
     std::map<std::string, std::string> empty;
     bool operator==(const PoolLoad&) const = default;
 };
 
+/// Row text of a load; decodeLoad() returns nothing for malformed text.
 std::string encodeLoad(const PoolLoad& load);
 std::optional<PoolLoad> decodeLoad(std::string_view text);
 
-/// What is done with a machine.
+/// What the coordinator does with a machine.
 enum class MachineAction { Maintain, Move };
 
 inline constexpr NameTable<MachineAction, 2> machineActionNames { {
@@ -47,9 +50,9 @@
     { MachineAction::Move, "move" },
 } };
 
-/// How far a machine's task is.
+/// Progress of a machine task.
 enum class MachineTaskState {
-    Emptying, ///< its pool's holder ends or moves what runs there
+    Emptying, ///< the holder of its pool drains the machine
     Ordered, ///< the platform has accepted the order
 };
 
@@ -58,70 +61,73 @@
     { MachineTaskState::Ordered, "ordered" },
 } };
 
-/// A task of the coordinator, durable before anything is done.
+/// A maintenance or move of one machine. It is made durable before the coordinator acts on it.
 struct MachineTask {
     std::string machine;
     MachineAction action = MachineAction::Maintain;
-    std::int64_t wave = 0; ///< for Maintain
-    std::string toPool; ///< for Move
-    std::string oldVm; ///< that ran on the machine when the task began; empty: none
+    std::int64_t wave = 0; ///< Maintain only
+    std::string toPool; ///< Move only
+    std::string oldVm; ///< VM of the machine when the task began; empty: none
     MachineTaskState state = MachineTaskState::Emptying;
-    std::string id; ///< unlike that of any other task
+    std::string id; ///< unique among all tasks
     bool operator==(const MachineTask&) const = default;
 };
 
+/// Row text of a task; decodeTask() returns nothing for malformed text.
 std::string encodeTask(const MachineTask& task);
 std::optional<MachineTask> decodeTask(std::string_view text);
 
-/// A wave and how far it is.
+/// A maintenance wave and its progress.
 struct WaveState {
     WaveRequest request;
-    TimePoint seenAt {};
-    std::set<std::string> done; ///< machines whose maintenance was carried out
+    TimePoint seenAt {}; ///< when the wave began; its duration counts from here
+    std::set<std::string> done; ///< machines whose maintenance is finished
 };
 
-/// What the coordinator knows.
+/// State of the fleet as the coordinator knows it.
 struct FleetState {
     FleetConfig config;
     std::map<std::string, Machine> machines; ///< by id
     std::map<std::string, PoolLoad> loads; ///< by pool
     std::map<std::string, MachineTask> tasks; ///< by machine
-    std::map<std::int64_t, WaveState> waves;
+    std::map<std::int64_t, WaveState> waves; ///< by number
     std::map<std::string, TimePoint> movedAt; ///< by machine, end of its last task
-    std::set<std::pair<std::string, std::string>> refusedMoves; ///< machine and pool
+    std::set<std::pair<std::string, std::string>> refusedMoves; ///< machine and target pool
 };
 
 /// Limits of the coordinator.
 struct FleetLimits {
-    /// Time for one machine: emptying it and its maintenance.
-    milliseconds perMachine { 6000 };
-    /// Part of a pool's machines that may be emptied for maintenance at once.
-    double poolShare = 0.34;
-    /// A wave is done this long before it is due, so that a late machine does not make it late.
-    milliseconds waveReserve { 5000 };
-    /// Time in which a pool's backlog should be worked off; about the slack of a short job.
-    milliseconds drainTime { 1000 };
-    /// Room kept above what runs, for the next jobs.
-    double headroom = 1.25;
-    /// Machines without work that a pool keeps; its next jobs start there.
-    int idleReserve = 1;
-    /// A machine stays in its pool this long after it came.
-    milliseconds shortestStay { 3000 };
+    /// Time to drain one machine and carry out its maintenance.
+    milliseconds timePerMachine { 6000 };
+    /// Share of a pool's machines that may be unavailable at once for maintenance.
+    double maxUnavailableShare = 0.34;
+    /// Waves are planned to finish this long before their deadline, so that one slow machine does not make
+    /// the wave late.
+    milliseconds waveSafetyMargin { 5000 };
+    /// Time in which a pool should finish its backlog; about the slack of a short job.
+    milliseconds backlogDrainTime { 1000 };
+    /// Factor on the CPU in use or arriving, which leaves capacity for the next jobs.
+    double headroomFactor = 1.25;
+    /// Idle machines that a pool keeps for its next jobs.
+    int minIdleMachines = 1;
+    /// Time that a machine stays in its pool after its last task.
+    milliseconds minStayTime { 3000 };
 };
 
-/// Machines of the waves whose maintenance begins now.
+/// New tasks for machines whose maintenance begins now.
 std::vector<MachineTask> planMaintenance(const FleetState& state, const FleetLimits& limits, TimePoint now);
-/// Moves of machines to pools that need them: those that are off first, then machines with the least
-/// work of pools that have more than they need. Long-running tasks are not moved for this.
+/// New moves of machines to pools that need them: standby machines first, then the least loaded machines of
+/// pools with a surplus. Machines with long-running tasks are not moved.
 std::vector<MachineTask> planMoves(const FleetState& state, const FleetLimits& limits, TimePoint now);
-/// Whether the platform may be told to carry out the task.
+/// Whether the machine is drained, so that the platform may be ordered to carry out the task.
 bool mayOrder(const FleetState& state, const MachineTask& task);
-/// Whether the machine is back: it runs another VM than before, or its pool's VMs are off.
+/// Whether the task is finished: the machine is up in the right pool and runs a new VM, or is in a standby
+/// pool, whose VMs are off.
 bool isBack(const FleetState& state, const MachineTask& task);
-/// Whether the task will never be carried out or has no use any more: its machine has crashed, was taken
-/// away, or runs another VM before the order was given.
+/// Whether the task can't be finished or has become pointless: its machine is down or was removed, or it
+/// came up with another VM before the order was given.
 bool isAbandoned(const FleetState& state, const MachineTask& task);
-/// Whether every machine of the wave that still exists had its maintenance.
+/// Whether maintenance is finished for every machine of the wave that still exists.
 bool isComplete(const FleetState& state, const WaveState& wave);
 
 } // namespace damask::fleet
--- a/src/include/damaskworks/job.h
+++ b/src/include/damaskworks/job.h
@@ -1,5 +1,5 @@
 /// \file
-/// Jobs of a pool: steps in order, each with tasks that run on VMs.
+/// Jobs of a pool. A job is a graph of steps; each step is a number of equal tasks that run on VMs.
 #pragma once
 
 #include <damaskworks/names.h>
@@ -15,14 +15,14 @@
 namespace damask::fleet {
 
 using std::chrono::milliseconds;
-/// A calendar instant in milliseconds since 1970.
+/// Wall-clock time in milliseconds since 1970.
 using WallTime = milliseconds;
 
-/// Resources of a VM, or of one task.
+/// Resources of a VM, or those that one task needs.
 struct Resources {
     std::int64_t cpu = 0; ///< thousandths of a core
     std::int64_t memoryMb = 0;
-    std::int64_t gpu = 0;
+    std::int64_t gpu = 0; ///< number of GPUs
     bool operator==(const Resources&) const = default;
 };
 
@@ -52,38 +52,38 @@
 struct StepSpec {
     int count = 1;
     Resources need; ///< of each task
-    milliseconds estimate { 0 }; ///< rough run time of a task
-    std::vector<int> after; ///< steps whose tasks must all be done first
-    bool checkpoints = false; ///< tasks save their progress
+    milliseconds estimate { 0 }; ///< estimated run time of a task
+    std::vector<int> after; ///< indices of earlier steps that must be done first
+    bool checkpoints = false; ///< tasks save checkpoints and can resume from them
     bool gang = false; ///< all tasks start together and end together
-    bool sameRack = false; ///< tasks are much slower when spread over racks
+    bool sameRack = false; ///< prefers one rack for all tasks; they are much slower across racks
     bool speculative = false; ///< several copies of a task may run
     bool longRunning = false; ///< tasks run until the job is cancelled
-    bool filler = false; ///< uses processor time that others leave; its processors are not reserved
+    bool filler = false; ///< uses idle CPU time only; no CPU is reserved for its tasks
     std::string requiredLabel;
-    std::string preferredRack; ///< where the step's data is
+    std::string preferredRack; ///< rack that has the step's data
     std::string image;
-    int maxPerVm = 0; ///< 0: no limit
-    milliseconds latencyTarget { 0 }; ///< of the users that a long-running task serves; 0: none
-    int maxUnavailable = 0; ///< tasks that may be unavailable at once through our own actions
+    int maxPerVm = 0; ///< most tasks of an occurrence on one VM; 0: no limit
+    milliseconds latencyTarget { 0 }; ///< tail latency for users of a long-running task; 0: none
+    int maxUnavailable = 0; ///< disruption budget: most tasks that we may make unavailable at once
 };
 
-/// A job as its caller submitted it.
+/// A job as its caller submitted it, with what was fixed when it was accepted.
 struct JobSpec {
     std::string id;
     std::string queue;
-    std::string pool; ///< that the queue was routed to at the time of acceptance
-    std::string spec; ///< passed to the tasks unread; kept in a row of its own, see specBytes
-    std::size_t specBytes = 0; ///< size of spec, also where spec itself has not been read
+    std::string pool; ///< pool of the queue at the time of acceptance
+    std::string spec; ///< opaque, passed to the tasks; kept in a row of its own, see specBytes
+    std::size_t specBytes = 0; ///< size of spec, known also before spec itself is loaded
     std::vector<StepSpec> steps;
-    int occurrences = 0; ///< of a scheduled job; 0: the job runs once
-    WallTime firstDue { 0 };
-    milliseconds period { 0 };
+    int occurrences = 0; ///< number of executions of a scheduled job; 0: the job runs once
+    WallTime firstDue { 0 }; ///< due time of the first occurrence
+    milliseconds period { 0 }; ///< between occurrences
     WallTime acceptedAt { 0 };
-    int maxAttempts = 1; ///< of the queue at the time of acceptance; counts once the queue is gone
+    int maxAttempts = 1; ///< of the queue at the time of acceptance; used if the queue is removed
 };
 
-/// Names one step of an occurrence of a job.
+/// Identifies a step of an occurrence of a job.
 struct StepId {
     std::string job;
     int occurrence = 0;
@@ -94,7 +94,7 @@
 /// `JOB.OCCURRENCE.STEP`.
 std::string toString(const StepId& step);
 
-/// Names one task of a job.
+/// Identifies a task of a job.
 struct TaskId {
     std::string job;
     int occurrence = 0;
@@ -105,10 +105,10 @@
 
 /// `JOB.OCCURRENCE.STEP.INDEX`.
 std::string toString(const TaskId& task);
-/// Inverse of toString(); nothing if malformed.
+/// Parses the result of toString(); returns nothing for malformed text.
 std::optional<TaskId> parseTaskId(std::string_view text);
 
-/// States of a job as its caller sees them.
+/// State of a job, as shown to its caller.
 enum class JobState { Queued, Running, Completed, Failed, Cancelled };
 
 inline constexpr NameTable<JobState, 5> jobStateNames { {
@@ -121,10 +121,11 @@
 
 constexpr bool isFinal(JobState state) { return state >= JobState::Completed; }
 
-/// Longest chain of estimated run times through the steps.
-milliseconds longestChain(const std::vector<StepSpec>& steps);
+/// Length of the critical path: the largest sum of estimates along a chain of dependent steps. Steps must
+/// come after those that they depend on.
+milliseconds criticalPathLength(const std::vector<StepSpec>& steps);
 
-/// Row text of a job, without its spec; decodeJob() gives nothing for text that encodeJob() did not make.
+/// Row text of a job, without its spec. decodeJob() returns nothing for malformed text.
 std::string encodeJob(const JobSpec& job);
 std::optional<JobSpec> decodeJob(std::string_view text);
 
--- a/src/include/damaskworks/job_timing.h
+++ b/src/include/damaskworks/job_timing.h
@@ -1,16 +1,16 @@
 /// \file
-/// Objectives of jobs: when a job should have ended, and how it stands against that.
+/// Completion-time objectives of jobs, and whether jobs meet them.
 #pragma once
 
 #include <damaskworks/pool_state.h>
 
 namespace damask::fleet {
 
-/// How the end of a job, or the end that it can still reach, stands against its objective.
+/// Actual or earliest possible end of a job, compared with its objective.
 enum class Timeliness {
     InTime,
-    Late, ///< after the objective, but not by so much that it is worth nothing
-    Overdue, ///< worth next to nothing; still has to be finished
+    Late, ///< misses the objective, but the result still has some value
+    Overdue, ///< the result has almost no value, but the job still has to be finished
 };
 
 inline constexpr NameTable<Timeliness, 3> timelinessNames { {
@@ -19,14 +19,14 @@
     { Timeliness::Overdue, "overdue" },
 } };
 
-/// When an occurrence is due; that of a job without occurrences is its acceptance.
+/// Due time of an occurrence. A job that is not scheduled is due when it is accepted.
 WallTime dueAt(const JobEntry& job, int occurrence);
-/// Time from then until the job should have ended. \p queue may be nullptr: nothing is added to the
-/// longest chain of tasks.
+/// Time from dueAt() until the job should have ended: the critical path, stretched and extended as the queue
+/// sets it. With nullptr for \p queue it is the critical path alone.
 milliseconds objectiveSpan(const JobEntry& job, const Queue* queue);
-/// \p took is counted from dueAt().
+/// Compares the time \p took, counted from dueAt(), with the objective.
 Timeliness timelinessOf(milliseconds took, milliseconds objective);
-/// Whether the job ends by itself and is not bound to the calendar, so that one objective covers it.
+/// Whether a single objective covers the job: it is not scheduled and has no long-running tasks.
 bool hasOneObjective(const JobSpec& job);
 
 } // namespace damask::fleet
--- a/src/include/damaskworks/pool_plan.h
+++ b/src/include/damaskworks/pool_plan.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which waiting task starts next, and on which VM.
+/// Scheduling of a pool: which waiting tasks start on which VMs, evacuation, CPU limits and reported load.
 #pragma once
 
 #include <damaskworks/fleet_plan.h>
@@ -7,27 +7,29 @@
 
 namespace damask::fleet {
 
-/// Chooses starts for waiting tasks and records them as runs. The caller sends the orders.
+/// Chooses VMs for waiting tasks and records the starts as runs. The caller sends the orders.
 /// \p wallNow decides which occurrences of scheduled jobs are due.
 std::vector<StartAction> planStarts(PoolState& state, TimePoint now, WallTime wallNow);
 
-/// Earliest occurrence that is not yet due; nothing if there is none.
+/// Due time of the earliest occurrence that is not due yet, if any.
 std::optional<WallTime> nextDue(const PoolState& state);
 
-/// Stops tasks on VMs that are emptied or leave, long-running ones within their step's budget.
+/// Marks tasks to be stopped on VMs that are evacuated or draining. Long-running tasks are stopped within
+/// their step's disruption budget (maxUnavailable).
 void planEvacuations(PoolState& state, TimePoint now);
-/// What the coordinator of machines needs to know of the pool.
+/// Load of the pool, as reported to the machine coordinator.
 PoolLoad loadOf(const PoolState& state, TimePoint now);
 
-/// A change of the share of its processors that a task may use.
-struct PaceAction {
+/// An order that sets the share of its CPU that a task may use.
+struct CpuLimitAction {
     std::string vm;
     TaskId task;
     std::uint32_t run = 0;
     int percent = 100;
 };
 
-/// Slows fillers beside tasks that serve users too slowly, and releases them again.
-std::vector<PaceAction> planPaces(PoolState& state, std::string_view vm, TimePoint now);
+/// Lowers the CPU limit of the filler tasks on a VM while a task beside them approaches or exceeds its
+/// latency target, and raises it again once there is room.
+std::vector<CpuLimitAction> planPaces(PoolState& state, std::string_view vm, TimePoint now);
 
 } // namespace damask::fleet
--- a/src/include/damaskworks/pool_state.h
+++ b/src/include/damaskworks/pool_state.h
@@ -1,6 +1,7 @@
 /// \file
-/// State of one pool as its holder sees it: jobs, VMs and the runs that tie them. Free functions
-/// turn reports and answers into changes of the state and into orders; nothing here does I/O.
+/// State of one pool as kept by its holder, the node that has the pool's lease: jobs, VMs and the runs of
+/// tasks on VMs. Free functions apply reports and responses to the state and plan orders to VMs; nothing
+/// here does I/O.
 #pragma once
 
 #include <damaskworks/clock.h>
@@ -17,30 +18,30 @@
 
 namespace damask::fleet {
 
-/// Where a run stands.
+/// Phase of a run, as far as the holder knows.
 enum class RunPhase {
-    Starting, ///< the order is on its way
+    Starting, ///< the start order was sent or is about to be, with no response yet
     Running,
-    Stopping, ///< a stop was ordered; its end is not listed yet
-    Unknown, ///< the start was not answered; it may still be carried out
+    Stopping, ///< a stop was ordered; the VM has not listed the end yet
+    Unknown, ///< the start order got no response; the VM may still carry it out
 };
 
-/// A run of a task on a VM. It occupies room from the order until its end is known.
+/// A run of a task on a VM. It reserves resources from the start order until its end is known.
 struct RunState {
     std::string vm;
     std::uint32_t number = 0;
     RunPhase phase = RunPhase::Starting;
     TimePoint orderedAt {};
-    TimePoint confirmedAt {}; ///< when the VM was known to have the run; zero: not yet
-    TimePoint stopAnsweredAt {}; ///< when the VM confirmed a stop; zero: not yet
-    TimePoint nextStop {}; ///< when an unanswered stop is repeated
-    int percent = 0;
+    TimePoint confirmedAt {}; ///< when the VM first confirmed the run; zero: not yet
+    TimePoint stopConfirmedAt {}; ///< when the VM confirmed a stop; zero: not yet
+    TimePoint nextStopAt {}; ///< when an unconfirmed stop order is sent again
+    int percent = 0; ///< reported progress, see RunReport
     TimePoint progressAt {}; ///< last change of percent
-    std::int64_t load = 0; ///< see RunReport
-    int pace = 100; ///< percent of its processors that it may use
+    std::int64_t reportedLoad = 0; ///< see RunReport::load
+    int cpuLimitPercent = 100; ///< share of its CPU that the task may use
 };
 
-/// One task.
+/// State of one task.
 struct TaskState {
     bool done = false;
     std::set<std::uint32_t> failedRuns;
@@ -49,24 +50,24 @@
     std::optional<RunState> run;
 };
 
-/// Leave to run a step on a VM.
+/// Permission of the advice service to run a step on a VM.
 struct Ticket {
     std::string text;
     TimePoint validUntil {};
 };
 
-/// What the advice service has said of one step.
+/// Answers of the advice service about one step.
 struct StepAdvice {
     std::map<std::string, Ticket, std::less<>> tickets; ///< by VM
-    std::set<std::string, std::less<>> denied; ///< VMs that may not run the step
-    bool asked = false; ///< an answer is awaited
-    TimePoint nextQuestion {};
+    std::set<std::string, std::less<>> deniedVms; ///< VMs that may not run the step
+    bool isRequestPending = false;
+    TimePoint nextRequestAt {}; ///< earliest time of the next request, after one that failed
 };
 
-/// One step of an occurrence.
+/// State of one step of an occurrence.
 struct StepState {
     std::vector<TaskState> tasks;
-    int done = 0; ///< tasks that are done
+    int doneTasks = 0;
     StepAdvice advice;
 };
 
@@ -79,149 +80,155 @@
 struct JobEntry {
     JobSpec spec;
     JobState state = JobState::Queued;
-    bool begun = false; ///< has a durable record, without which none of its tasks is started
-    bool hasSpec = false; ///< spec.spec has been read
+    bool begun = false; ///< has a durable record; its tasks are not started before
+    bool hasSpec = false; ///< spec.spec is loaded
     bool recovered = false; ///< an earlier holder may have started its tasks
     bool cancelled = false;
     bool dirty = false; ///< differs from its durable record
-    std::optional<JobState> recorded; ///< state in its row as last sent; none: to be sent again
-    int nextOccurrence = 0; ///< first that is not yet due
+    std::optional<JobState> recorded; ///< state last written to its row; empty: write it again
+    int nextOccurrence = 0; ///< first occurrence that is not due yet
     std::map<int, OccurrenceState> occurrences;
-    milliseconds chain { 0 }; ///< longest chain of estimates
-    TimePoint firstStart {}; ///< first order by this holder; zero: none yet
+    milliseconds criticalPath { 0 }; ///< see criticalPathLength()
+    TimePoint firstStart {}; ///< first start order of this holder; zero: none yet
 };
 
 /// A VM of the pool.
 struct VmState {
     VmEntry entry;
     bool listed = true; ///< present in the registry
-    bool read = false; ///< its lists were read with this holder's token
-    bool silent = false; ///< the last call was not answered
-    bool evacuating = false; ///< is being emptied for maintenance or a move
-    std::string evacuationTask; ///< id of the machine's task for which it is
+    bool read = false; ///< has reported its runs to this holder, under its fencing token
+    bool silent = false; ///< the last call got no response
+    bool evacuating = false; ///< its tasks are drained for maintenance or a move
+    std::string evacuationTask; ///< MachineTask::id of that maintenance or move
     TimePoint evacuatingSince {};
-    std::int64_t born = 0;
-    milliseconds clock { 0 }; ///< VM's clock when clockAt was taken
-    TimePoint clockAt {};
-    milliseconds leaseUntil { 0 }; ///< latest lease end in any order, on the VM's clock
-    Resources used; ///< of all runs that are not known to have ended
+    std::int64_t born = 0; ///< boot time, see VmReport; differs after a reboot
+    milliseconds reportedClock { 0 }; ///< the VM's clock in its last report
+    TimePoint clockReportedAt {}; ///< when that report arrived, on this node's clock
+    milliseconds leaseUntil { 0 }; ///< latest lease end sent in any order, on the VM's clock
+    Resources used; ///< reserved by all runs that are not known to have ended
     std::set<TaskId> runs;
-    /// Runs that belong to no live job here, with the time of the next stop order.
+    /// Runs that this holder neither ordered nor adopted, with the time of the next stop order.
     std::map<std::pair<TaskId, std::uint32_t>, TimePoint> strangers;
-    std::uint64_t applied = 0; ///< ends up to this number are in the state
+    std::uint64_t applied = 0; ///< ends up to this number are applied to the state
     std::uint64_t acknowledged = 0; ///< ends up to this number are durable
-    int failureStreak = 0; ///< failed ends and refusals since the last run that went well
+    int consecutiveFailures = 0; ///< failed, refused and stalled runs since the last successful one
     std::string lastFailedJob;
-    int jobsInStreak = 0; ///< different jobs in the streak
-    TimePoint asideUntil {}; ///< no new work before this time
-    milliseconds asideFor { 0 };
+    int distinctFailedJobs = 0; ///< jobs among these failures; a job that recurs after another counts again
+    TimePoint quarantinedUntil {}; ///< the VM gets no new tasks before this time
+    milliseconds quarantineTime { 0 }; ///< length of the last quarantine; zero: none since the last success
 };
 
 /// Limits of a pool's holder.
 struct PoolLimits {
-    milliseconds holdWait { 1000 }; ///< longest wait of a request for an end
-    milliseconds vmLease { 4500 }; ///< outlives a change of holder: expiry of 2 s, then one reading
-    /// A VM's clock may run slow by 2%; the rest covers the rounding to milliseconds.
+    milliseconds maxHoldWait { 1000 }; ///< how long a VM may delay its response to a hold until a run ends
+    /// Lease of the tasks on a VM. It is longer than a change of holder takes: 2 s until the old holder's
+    /// lease expires, then one load of its records.
+    milliseconds vmLease { 4500 };
+    /// Slowest rate of a VM's clock. It may run slow by 2%; the rest covers the rounding to milliseconds.
     double slowestVmClock = 0.975;
-    milliseconds stopRetry { 400 }; ///< twice the time that a VM may take to stop a task
-    int failuresBeforeAside = 4; ///< of at least two jobs, in a row
-    milliseconds firstAside { 2000 }; ///< doubles with each further one
-    milliseconds longestAside { 16000 };
-    double stallFactor = 4; ///< a task without progress for this many estimates is stopped
-    milliseconds shortestStall { 4000 };
-    milliseconds longestEvacuation { 5000 }; ///< most tasks end within this; others are stopped
-    milliseconds arrivalWindow { 800 }; ///< over which the rate of new work is taken
-    /// For which the rate of new work is foreseen: a machine has come to the pool after about 2 s (its
-    /// tasks' ends, the move, its registration), and the rate is that of the window's middle.
-    milliseconds foresight { 2400 };
-    milliseconds farPenaltyWait { 400 }; ///< wait for a place in the preferred rack
+    milliseconds stopRetryDelay { 400 }; ///< twice the time that a VM may take to stop a task
+    int failuresBeforeQuarantine = 4; ///< consecutive failures, of at least two jobs
+    milliseconds firstQuarantine { 2000 }; ///< doubles with each further quarantine
+    milliseconds maxQuarantine { 16000 };
+    double stallFactor = 4; ///< a task without progress for this multiple of its estimate is stopped
+    milliseconds minStallTime { 4000 }; ///< but not before this time without progress
+    milliseconds evacuationTimeout { 5000 }; ///< most tasks end within it; the rest are stopped
+    milliseconds arrivalWindow { 800 }; ///< over which the arrival rate of work is measured
+    /// How far ahead the arrival rate is extrapolated. A machine joins the pool after about 2 s (drain,
+    /// move, registration), and the measured rate is that of the middle of the window.
+    milliseconds forecastHorizon { 2400 };
+    milliseconds preferredRackWait { 400 }; ///< how long a task waits for a VM in its preferred rack
 };
 
-/// Work of a job that was accepted lately.
+/// A recently accepted job, for the arrival rate.
 struct Arrival {
     TimePoint at {};
-    double work = 0; ///< of all its steps by estimate, thousandths of a core times milliseconds
+    double work = 0; ///< estimate for all its steps, in thousandths of a core times milliseconds
 };
 
-/// The pool.
+/// State of a pool.
 struct PoolState {
     std::string pool;
     bool enforcesCapacity = false;
-    std::uint64_t term = 0; ///< holders before this one
+    std::uint64_t term = 0; ///< number of earlier holders
     PoolLimits limits;
     std::map<std::string, Queue, std::less<>> queues; ///< by name
-    std::map<std::string, JobEntry, std::less<>> jobs; ///< not ended
-    std::map<std::string, VmState, std::less<>> vms;
-    std::deque<Arrival> arrivals; ///< within the last two arrivalWindows
-    std::vector<StepId> wantAdvice; ///< steps that the last planStarts() found no VM with a ticket for
-    /// Until then tasks of recovered jobs may run on VMs that were not read.
+    std::map<std::string, JobEntry, std::less<>> jobs; ///< that have not ended, by id
+    std::map<std::string, VmState, std::less<>> vms; ///< by id
+    std::deque<Arrival> arrivals; ///< within the last two arrival windows, oldest first
+    std::vector<StepId> stepsNeedingTickets; ///< steps for which the last planStarts() found no usable VM
+    /// After a change of holder: until then tasks of recovered jobs may run on VMs that have not reported.
     TimePoint uncertainUntil {};
-    /// VMs that the platform says the pool has; the registry may miss some of them for a while after
-    /// an outage. Not set until the platform has said so.
+    /// VMs of the pool according to the platform; the registry may lack some of them for a while after an
+    /// outage. Empty optional: the platform has not answered yet.
     std::optional<std::set<std::string>> knownVms;
 };
 
-/// Stop of a run.
+/// An order to stop a run.
 struct StopAction {
     std::string vm;
     TaskId task;
     std::uint32_t run = 0;
 };
 
-/// Start of a run.
+/// An order to start a run.
 struct StartAction {
     std::string vm;
     StartOrder order;
 };
 
-/// Run numbers of a recovered task begin above this, so that they exceed those of earlier holders.
-constexpr std::uint32_t runBase(std::uint64_t term) { return static_cast<std::uint32_t>(term) * 1000; }
+/// Run numbers of a recovered task start above this value, so that they exceed those of earlier holders.
+constexpr std::uint32_t runNumberBase(std::uint64_t term) { return static_cast<std::uint32_t>(term) * 1000; }
 
-/// Adds a job. \p progress is its durable record, empty if there is none.
+/// Adds a job. \p progress is its durable record, empty if there is none. \p recovered: an earlier holder
+/// may have had the job.
 void addJob(PoolState& state, JobSpec spec, std::string_view progress, bool recovered);
-/// Counts the work of a new job towards the rate at which work arrives.
+/// Adds the work of a new job to the arrival rate.
 void noteArrival(PoolState& state, const JobSpec& job, TimePoint now);
 /// Cancels a job; its runs are stopped by the next planStops().
 void cancelJob(PoolState& state, std::string_view id);
 /// Adds or changes a VM as the registry lists it.
 void listVm(PoolState& state, const VmEntry& entry);
-/// The registry no longer lists the VM.
+/// Marks a VM that the registry no longer lists. expireLeases() removes it.
 void unlistVm(PoolState& state, std::string_view id);
-/// Takes in what a VM says it runs. \p sentAt is when it was asked.
+/// Applies a VM's report of its runs. \p sentAt is when the request for it was sent.
 void applyReport(
     PoolState& state, std::string_view vm, const VmReport& report, TimePoint sentAt, TimePoint now);
-/// A call to a VM had no answer.
+/// Marks a VM whose last call got no response.
 void applySilence(PoolState& state, std::string_view vm);
+/// Applies the outcome of a start order.
 void applyStartOutcome(PoolState& state, std::string_view vm, const TaskId& task, std::uint32_t run,
     OrderOutcome outcome, TimePoint now);
+/// Applies the outcome of a stop order.
 void applyStopOutcome(PoolState& state, std::string_view vm, const TaskId& task, std::uint32_t run,
     OrderOutcome outcome, TimePoint now);
-/// Releases the runs of VMs whose lease is certainly over, and forgets VMs that are gone.
+/// Releases the runs of unresponsive VMs whose lease has expired, and removes unlisted VMs without runs.
 void expireLeases(PoolState& state, TimePoint now);
-/// Runs to be stopped: of ended jobs, of strangers, of stalled tasks, and unanswered starts.
+/// Stop orders that are due: for runs of ended jobs, orphan runs, stalled tasks and unconfirmed starts.
 std::vector<StopAction> planStops(PoolState& state, TimePoint now);
-/// Stops one run, for example to empty a VM.
+/// Marks a run to be stopped by the next planStops().
 void markStopping(RunState& run, TimePoint now);
 
-/// Lease end to put into an order, on the VM's clock; raises the VM's bound.
+/// Lease end to send in an order, on the VM's clock. Raises VmState::leaseUntil.
 milliseconds extendLease(VmState& vm, const PoolLimits& limits, TimePoint now);
-/// Whether all that ran on the VM has lapsed for certain.
-bool leaseIsOver(const VmState& vm, const PoolLimits& limits, TimePoint now);
+/// Whether the lease of every run on the VM has expired, even if the VM's clock is at its slowest.
+bool isLeaseExpired(const VmState& vm, const PoolLimits& limits, TimePoint now);
 
-/// The next request for the VM's lists; renews the lease of what runs there.
+/// The next hold for the VM, which asks for its report. Renews the lease of its runs if the VM responds.
 HoldOrder planHold(VmState& vm, const PoolLimits& limits, TimePoint now);
 
-/// Durable record of a job's tasks.
+/// Durable record of a job's state and of the progress of its tasks.
 std::string encodeProgress(const JobEntry& job);
 /// Durable record of a job's state.
 std::string encodeState(JobState state);
-/// State in either record; Queued if it can't be read.
+/// State in a record of either kind; Queued if it is malformed.
 JobState stateOf(std::string_view record);
 
-/// The task, or nullptr.
+/// The task, or nullptr if the job has no such task. Creates the state of its occurrence if it is missing.
 TaskState* findTask(PoolState& state, const TaskId& task);
+/// The specification of a step.
 const StepSpec& stepOf(const JobEntry& job, int step);
-/// Whether all tasks of the steps that \p step waits for are done.
+/// Whether all steps that \p step depends on are done.
 bool isStepReady(const JobEntry& job, const OccurrenceState& occurrence, int step);
 
 } // namespace damask::fleet
--- a/src/include/damaskworks/response_time.h
+++ b/src/include/damaskworks/response_time.h
@@ -1,25 +1,25 @@
 /// \file
-/// How long an answer is worth waiting for, from the times of earlier ones.
+/// Adaptive timeout for calls to a service, from the response times of earlier calls.
 #pragma once
 
 #include <chrono>
 
 namespace damask::fleet {
 
-/// Times of a service's answers (smoothing and variation as in RFC 6298, "Computing TCP's
-/// Retransmission Timer").
+/// Smoothed response time of a service and its variation, as in RFC 6298, "Computing TCP's Retransmission
+/// Timer".
 struct ResponseTimes {
     std::chrono::duration<double, std::milli> mean { 0 };
     std::chrono::duration<double, std::milli> variation { 0 };
-    bool known = false; ///< an answer has been seen
-    int silences = 0; ///< calls in a row that were not answered
+    bool hasSample = false; ///< at least one response time was recorded
+    int consecutiveTimeouts = 0; ///< since the last response, capped at the largest backoff
 };
 
-/// Takes in the time of an answer.
+/// Adds the time of a response. Resets the backoff.
 void noteAnswer(ResponseTimes& times, std::chrono::duration<double, std::milli> time);
-/// A call was not answered in time; the next ones are given twice as long.
+/// Records a call that timed out. Doubles the timeout of the next calls.
 void noteSilence(ResponseTimes& times);
-/// Time to wait for the next answer, at most \p limit.
+/// Timeout for the next call, at most \p limit.
 std::chrono::milliseconds patience(const ResponseTimes& times, std::chrono::milliseconds limit);
 
 } // namespace damask::fleet
--- a/src/include/damaskworks/start_gate.h
+++ b/src/include/damaskworks/start_gate.h
@@ -1,5 +1,5 @@
 /// \file
-/// Starts that wait until the record of their job says that it has begun, and until its spec is read.
+/// Holds back planned starts until their job has a durable record and its spec is loaded.
 #pragma once
 
 #include <damaskworks/pool_state.h>
@@ -10,14 +10,15 @@
 
 namespace damask::fleet {
 
-/// Planned starts by job. Their room is reserved meanwhile.
+/// Planned starts that are held back, by job. Their resources stay reserved.
 ///
-/// The next holder of the pool takes a job without a record as not begun and starts it at once. Without
-/// this it would have to wait until no VM can run anything that the earlier holder has started.
+/// Because a job's record is durable before its first start order, the next holder of the pool may start a
+/// job without a record at once. Otherwise it would have to wait until no VM can still run a task that the
+/// earlier holder started.
 using WaitingStarts = std::map<std::string, std::vector<StartAction>, std::less<>>;
 
-/// Adds \p planned to \p waiting and takes out the starts that may be ordered now. A start whose run was
-/// released or stopped meanwhile is dropped.
+/// Adds \p planned to \p waiting, then removes and returns the starts that may be ordered now. Drops starts
+/// whose run was released or stopped in the meantime.
 std::vector<StartAction> passGate(
     PoolState& state, WaitingStarts& waiting, std::vector<StartAction> planned, TimePoint now);
 
--- a/src/include/damaskworks/step_advice.h
+++ b/src/include/damaskworks/step_advice.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which VMs to ask the advice service about, and what its answers allow.
+/// Requests to the advice service, which says which VMs may run a step, and handling of its answers.
 #pragma once
 
 #include <damaskworks/pool_state.h>
@@ -10,17 +10,17 @@
 
 namespace damask::fleet {
 
-/// A question to the advice service.
-struct AdviceQuestion {
+/// A request to the advice service about one step.
+struct AdviceRequest {
     StepId step;
-    std::vector<std::string> vms;
-    milliseconds expected { 0 }; ///< until the answer
+    std::vector<std::string> vms; ///< ids
+    milliseconds expected { 0 }; ///< expected time until the answer
 };
 
-/// The next question, for the most urgent step that waits for a ticket; marks the step as asked about.
-std::optional<AdviceQuestion> planAdvice(PoolState& state, TimePoint now);
-/// Takes in an answer. A failed question is repeated after a pause.
-void applyAdvice(PoolState& state, const AdviceQuestion& question,
+/// The next request, for the most urgent step that needs tickets. Marks the step's request as pending.
+std::optional<AdviceRequest> planAdvice(PoolState& state, TimePoint now);
+/// Applies an answer. A failed request is retried after a delay.
+void applyAdvice(PoolState& state, const AdviceRequest& request,
     const tl::expected<Advice, OrderOutcome>& answer, TimePoint now);
 
 } // namespace damask::fleet
--- a/src/include/damaskworks/table_contact.h
+++ b/src/include/damaskworks/table_contact.h
@@ -1,27 +1,29 @@
 /// \file
-/// Whether this node reaches the platform's table, judged by how its calls end.
+/// Tracks whether this node can reach the platform's table, from the outcomes of its calls.
 #pragma once
 
 #include <damaskworks/clock.h>
 
 namespace damask::fleet {
 
-/// What the ends of calls to the table tell.
+/// Recent outcomes of calls to the table.
 struct TableContact {
-    TimePoint lastAnswer {}; ///< of any call; zero: none yet
-    int failures = 0; ///< calls turned away since then
+    TimePoint lastAnswer {}; ///< last response to any call; zero: none yet
+    int failures = 0; ///< failed calls since then, of those that certainly did nothing
 };
 
+/// Records a response from the table.
 void noteContact(TableContact& contact, TimePoint now);
+/// Records a failed call that certainly did nothing.
 void noteNoContact(TableContact& contact);
-/// Whether the node should be offered callers. Two failures in a row are enough to doubt it: callers have
-/// other nodes, and the doubt ends with the next answer.
+/// Whether the node should report itself ready for callers. Two consecutive failures are enough to say no:
+/// callers have other nodes, and the next response makes the node ready again.
 bool looksReachable(const TableContact& contact, TimePoint now);
-/// Whether a further attempt is hopeless, so that a caller is better sent away at once.
+/// Whether the table counts as unreachable, so that callers are refused at once without another attempt.
 bool isLost(const TableContact& contact, TimePoint now);
-/// When a caller that was refused should come back: soon while only this node may be affected, since another
-/// one takes the caller; later once it looks like an outage of the table, so that a caller with few attempts
-/// and time to wait outlasts it.
+/// Retry-After for a refused caller. Short while only this node may be affected, since another node then
+/// serves the retry. Longer once the table itself seems to be down, so that the few attempts of a caller
+/// outlast the outage.
 std::chrono::seconds retryAfter(const TableContact& contact, TimePoint now);
 
 } // namespace damask::fleet
--- a/src/libscheduler/fleet_moves.cpp
+++ b/src/libscheduler/fleet_moves.cpp
@@ -6,12 +6,12 @@
 namespace damask::fleet {
 namespace {
 
-/// What a pool has and needs, in machines.
-struct PoolNeed {
+/// Machines that a pool has and needs.
+struct PoolDemand {
     std::string name;
-    int has = 0; ///< machines that serve it or are on their way
-    int needs = 0;
-    std::vector<const Machine*> spare; ///< machines that may go, those with the least work first
+    int machineCount = 0; ///< machines in the pool or moving to it
+    int requiredMachines = 0;
+    std::vector<const Machine*> removable; ///< machines that may be moved away, least loaded first
 };
 
 bool isStandby(const FleetState& state, const std::string& pool)
@@ -20,35 +20,37 @@
     return found != state.config.pools.end() && found->second.standby;
 }
 
-/// Processor time that the pool should have: what runs, with headroom, and the backlog. A backlog of
-/// short tasks needs no more than works it off in time.
-double wantedCpu(const PoolLoad& load, const FleetLimits& limits)
+/// CPU that the pool should have: for long-running tasks, for running or arriving work with headroom, and for
+/// the backlog. The backlog counts only as much as finishes it within backlogDrainTime, so that many short
+/// tasks don't claim a machine each.
+double targetCpu(const PoolLoad& load, const FleetLimits& limits)
 {
-    const double active = static_cast<double>(load.usedCpu - load.servingCpu);
-    const double toDrain
-        = static_cast<double>(load.waitingWork) * 1000 / static_cast<double>(limits.drainTime.count());
-    const double backlog = std::min(static_cast<double>(load.waitingCpu), toDrain);
+    const double batchCpu = static_cast<double>(load.usedCpu - load.servingCpu);
+    const double drainCpu
+        = static_cast<double>(load.waitingWork) * 1000 / static_cast<double>(limits.backlogDrainTime.count());
+    const double backlog = std::min(static_cast<double>(load.waitingCpu), drainCpu);
     const double arriving = static_cast<double>(load.arrivingCpu);
     const double serving = static_cast<double>(load.servingCpu + load.waitingServingCpu);
-    return serving + std::max(active, arriving) * limits.headroom + backlog;
+    return serving + std::max(batchCpu, arriving) * limits.headroomFactor + backlog;
 }
 
-bool mayLeave(const FleetState& state, const Machine& machine, const FleetLimits& limits, TimePoint now)
+bool isMovable(const FleetState& state, const Machine& machine, const FleetLimits& limits, TimePoint now)
 {
     if (machine.state != MachineState::Up || state.tasks.contains(machine.id))
         return false;
-    const auto moved = state.movedAt.find(machine.id);
-    return moved == state.movedAt.end() || now - moved->second >= limits.shortestStay;
+    const auto lastTaskEnd = state.movedAt.find(machine.id);
+    return lastTaskEnd == state.movedAt.end() || now - lastTaskEnd->second >= limits.minStayTime;
 }
 
-/// Whether the pool has lost all its machines, and not just a holder that has not read them yet.
-bool isDeserted(const PoolLoad& load, int up)
+/// Whether the pool has lost all its machines, as opposed to a new holder to which they have not reported
+/// yet.
+bool hasLostAllMachines(const PoolLoad& load, int upMachines)
 {
-    return up == 0 && load.workingMachines == 0 && load.serving.empty();
+    return upMachines == 0 && load.workingMachines == 0 && load.serving.empty();
 }
 
-/// Processors of a machine, on average over the pools that have some.
-double averageMachine(const FleetState& state)
+/// Average CPU of a machine over all pools; 0 if no pool has a working machine.
+double averageCpuPerMachine(const FleetState& state)
 {
     double cpu = 0;
     int machines = 0;
@@ -59,68 +61,73 @@
     return machines == 0 ? 0 : cpu / machines;
 }
 
-PoolNeed needOf(const FleetState& state, const std::string& pool, const FleetLimits& limits, TimePoint now)
+PoolDemand computeDemand(
+    const FleetState& state, const std::string& pool, const FleetLimits& limits, TimePoint now)
 {
-    PoolNeed need { .name = pool };
+    PoolDemand demand { .name = pool };
     const auto load = state.loads.find(pool);
-    int up = 0;
-    int staying = 0;
+    int upMachines = 0;
+    int mustStayCount = 0;
     for (const auto& [id, machine] : state.machines) {
         const auto task = state.tasks.find(id);
-        const bool moves = task != state.tasks.end() && task->second.action == MachineAction::Move;
-        // A machine that has crashed or been taken away may never come back.
-        if (moves || machine.state != MachineState::Down)
-            need.has += (moves ? task->second.toPool : machine.pool) == pool;
+        const bool isMoving = task != state.tasks.end() && task->second.action == MachineAction::Move;
+        // A machine that has crashed or been removed may never return.
+        if (isMoving || machine.state != MachineState::Down)
+            demand.machineCount += (isMoving ? task->second.toPool : machine.pool) == pool;
         if (machine.pool != pool || machine.state != MachineState::Up)
             continue;
-        ++up;
-        const bool stays = load == state.loads.end() || load->second.serving.contains(id);
-        staying += stays;
-        if (!stays && mayLeave(state, machine, limits, now))
-            need.spare.push_back(&machine);
+        ++upMachines;
+        const bool mustStay = load == state.loads.end() || load->second.serving.contains(id);
+        mustStayCount += mustStay;
+        if (!mustStay && isMovable(state, machine, limits, now))
+            demand.removable.push_back(&machine);
     }
-    const bool known = load != state.loads.end();
-    const bool deserted = known && isDeserted(load->second, up);
-    if (!known || (!deserted && (up == 0 || load->second.workingMachines == 0))) {
-        need.needs = need.has;
-        return need;
+    const bool isLoadKnown = load != state.loads.end();
+    const bool lostAllMachines = isLoadKnown && hasLostAllMachines(load->second, upMachines);
+    if (!isLoadKnown || (!lostAllMachines && (upMachines == 0 || load->second.workingMachines == 0))) {
+        demand.requiredMachines = demand.machineCount;
+        return demand;
     }
-    const double perMachine = deserted
-        ? averageMachine(state)
+    const double cpuPerMachine = lostAllMachines
+        ? averageCpuPerMachine(state)
         : static_cast<double>(load->second.capacityCpu) / load->second.workingMachines;
-    if (perMachine <= 0) {
-        need.needs = need.has; // no pool tells how large a machine is
-        return need;
+    if (cpuPerMachine <= 0) {
+        demand.requiredMachines = demand.machineCount; // the size of a machine is unknown
+        return demand;
     }
-    const auto runsOn = [&](const Machine* machine) {
+    const auto runCount = [&](const Machine* machine) {
         const auto runs = load->second.runs.find(machine->id);
         return runs == load->second.runs.end() ? 0 : runs->second;
     };
-    std::stable_sort(need.spare.begin(), need.spare.end(),
-        [&](const Machine* a, const Machine* b) { return runsOn(a) < runsOn(b); });
-    const int wanted = static_cast<int>(std::ceil(wantedCpu(load->second, limits) / perMachine));
-    // A large task may fit on none of the machines although there is room enough in all.
-    const int empty = static_cast<int>(std::ceil(static_cast<double>(load->second.unfitCpu) / perMachine));
-    need.needs = std::max({ wanted, staying + empty, load->second.minMachines }) + limits.idleReserve;
-    return need;
+    std::stable_sort(demand.removable.begin(), demand.removable.end(),
+        [&](const Machine* a, const Machine* b) { return runCount(a) < runCount(b); });
+    const int machinesForCpu = static_cast<int>(std::ceil(targetCpu(load->second, limits) / cpuPerMachine));
+    // A large task may fit on no single machine although the total free CPU is enough.
+    const int emptyMachines
+        = static_cast<int>(std::ceil(static_cast<double>(load->second.unfitCpu) / cpuPerMachine));
+    demand.requiredMachines
+        = std::max({ machinesForCpu, mustStayCount + emptyMachines, load->second.minMachines })
+        + limits.minIdleMachines;
+    return demand;
 }
 
-std::vector<const Machine*> standbyMachines(const FleetState& state, const FleetLimits& limits, TimePoint now)
+std::vector<const Machine*> movableStandbyMachines(
+    const FleetState& state, const FleetLimits& limits, TimePoint now)
 {
     std::vector<const Machine*> out;
     for (const auto& [id, machine] : state.machines) {
-        if (isStandby(state, machine.pool) && mayLeave(state, machine, limits, now))
+        if (isStandby(state, machine.pool) && isMovable(state, machine, limits, now))
             out.push_back(&machine);
     }
     return out;
 }
 
-std::vector<PoolNeed> needsOf(const FleetState& state, const FleetLimits& limits, TimePoint now)
+std::vector<PoolDemand> computeDemands(const FleetState& state, const FleetLimits& limits, TimePoint now)
 {
-    std::vector<PoolNeed> pools;
+    std::vector<PoolDemand> pools;
     for (const auto& [name, load] : state.loads) {
         if (state.config.pools.contains(name) && !isStandby(state, name))
-            pools.push_back(needOf(state, name, limits, now));
+            pools.push_back(computeDemand(state, name, limits, now));
     }
     return pools;
 }
@@ -129,19 +136,21 @@
 
 std::vector<MachineTask> planMoves(const FleetState& state, const FleetLimits& limits, TimePoint now)
 {
-    auto pools = needsOf(state, limits, now);
-    auto available = standbyMachines(state, limits, now);
+    auto pools = computeDemands(state, limits, now);
+    auto available = movableStandbyMachines(state, limits, now);
     for (auto& pool : pools) {
-        const int surplus = pool.has - pool.needs;
-        for (int i = 0; i < surplus && i < static_cast<int>(pool.spare.size()); ++i)
-            available.push_back(pool.spare[static_cast<std::size_t>(i)]);
+        const int surplus = pool.machineCount - pool.requiredMachines;
+        for (int i = 0; i < surplus && i < static_cast<int>(pool.removable.size()); ++i)
+            available.push_back(pool.removable[static_cast<std::size_t>(i)]);
     }
-    std::sort(pools.begin(), pools.end(),
-        [](const PoolNeed& a, const PoolNeed& b) { return a.needs - a.has > b.needs - b.has; });
+    std::sort(pools.begin(), pools.end(), [](const PoolDemand& a, const PoolDemand& b) {
+        return a.requiredMachines - a.machineCount > b.requiredMachines - b.machineCount;
+    });
     std::vector<MachineTask> out;
     auto next = available.begin();
     for (const auto& pool : pools) {
-        for (int missing = pool.needs - pool.has; missing > 0 && next != available.end(); ++next) {
+        for (int missing = pool.requiredMachines - pool.machineCount; missing > 0 && next != available.end();
+             ++next) {
             if (state.refusedMoves.contains({ (*next)->id, pool.name }))
                 continue;
             out.push_back({ (*next)->id, MachineAction::Move, 0, pool.name, (*next)->vm });
--- a/src/libscheduler/fleet_plan.cpp
+++ b/src/libscheduler/fleet_plan.cpp
@@ -15,7 +15,7 @@
     return found != state.config.pools.end() && found->second.standby;
 }
 
-int runsOn(const FleetState& state, const Machine& machine)
+int runCount(const FleetState& state, const Machine& machine)
 {
     const auto load = state.loads.find(machine.pool);
     if (load == state.loads.end())
@@ -24,15 +24,15 @@
     return runs == load->second.runs.end() ? 0 : runs->second;
 }
 
-int tasksOf(const FleetState& state, std::int64_t wave)
+int countMaintenanceTasks(const FleetState& state, std::int64_t wave)
 {
     return static_cast<int>(std::count_if(state.tasks.begin(), state.tasks.end(), [&](const auto& entry) {
         return entry.second.action == MachineAction::Maintain && entry.second.wave == wave;
     }));
 }
 
-/// Machines of the pool that are away or are being emptied.
-int unavailableIn(const FleetState& state, const std::string& pool)
+/// Machines of the pool that are not up or have a task.
+int countUnavailable(const FleetState& state, const std::string& pool)
 {
     return static_cast<int>(
         std::count_if(state.machines.begin(), state.machines.end(), [&](const auto& entry) {
@@ -41,65 +41,68 @@
         }));
 }
 
-int sizeOf(const FleetState& state, const std::string& pool)
+int poolSize(const FleetState& state, const std::string& pool)
 {
     return static_cast<int>(std::count_if(state.machines.begin(), state.machines.end(),
         [&](const auto& entry) { return entry.second.pool == pool; }));
 }
 
-/// Machines of the pool that may be away at once. A pool with a backlog gives none up while there
-/// is time to wait for a quieter moment.
-int allowedAway(const FleetState& state, const std::string& pool, const FleetLimits& limits, bool pressed)
+/// Most machines of the pool that may be unavailable at once. A pool with a backlog gives up none until the
+/// wave is urgent.
+int unavailableLimit(
+    const FleetState& state, const std::string& pool, const FleetLimits& limits, bool isUrgent)
 {
     if (isStandby(state, pool))
-        return sizeOf(state, pool);
+        return poolSize(state, pool);
     const auto load = state.loads.find(pool);
-    const bool busy = load != state.loads.end() && load->second.waitingCpu > 0;
-    if (busy && !pressed)
+    const bool hasBacklog = load != state.loads.end() && load->second.waitingCpu > 0;
+    if (hasBacklog && !isUrgent)
         return 0;
-    return std::max(1, static_cast<int>(std::floor(sizeOf(state, pool) * limits.poolShare)));
+    return std::max(1, static_cast<int>(std::floor(poolSize(state, pool) * limits.maxUnavailableShare)));
 }
 
-std::vector<const Machine*> dueMachines(const FleetState& state, const WaveState& wave)
+std::vector<const Machine*> pendingMachines(const FleetState& state, const WaveState& wave)
 {
-    std::vector<const Machine*> due;
+    std::vector<const Machine*> pending;
     for (const auto& id : wave.request.machines) {
         const auto machine = state.machines.find(id);
         if (machine == state.machines.end() || wave.done.contains(id) || state.tasks.contains(id))
             continue;
         if (machine->second.state == MachineState::Up)
-            due.push_back(&machine->second);
+            pending.push_back(&machine->second);
     }
-    // Machines that are off first, then those on which little runs.
-    std::stable_sort(due.begin(), due.end(), [&](const Machine* a, const Machine* b) {
-        return std::pair(!isStandby(state, a->pool), runsOn(state, *a))
-            < std::pair(!isStandby(state, b->pool), runsOn(state, *b));
+    // Standby machines first, then those with the fewest runs.
+    std::stable_sort(pending.begin(), pending.end(), [&](const Machine* a, const Machine* b) {
+        return std::pair(!isStandby(state, a->pool), runCount(state, *a))
+            < std::pair(!isStandby(state, b->pool), runCount(state, *b));
     });
-    return due;
+    return pending;
 }
 
-/// Whether the pool's part of the wave needs all the time that is left.
-bool isPressed(const FleetState& state, const WaveState& wave, const std::string& pool,
-    const std::vector<const Machine*>& due, const FleetLimits& limits, TimePoint now)
+/// Whether the pool's machines in the wave need all the time that is left until the deadline.
+bool isPoolUrgent(const FleetState& state, const WaveState& wave, const std::string& pool,
+    const std::vector<const Machine*>& pending, const FleetLimits& limits, TimePoint now)
 {
-    const auto left
-        = std::count_if(due.begin(), due.end(), [&](const Machine* m) { return m->pool == pool; });
-    const auto atOnce = std::max(1, static_cast<int>(std::floor(sizeOf(state, pool) * limits.poolShare)));
-    const auto rounds = (left + atOnce - 1) / atOnce;
-    const auto dueAt = wave.seenAt + wave.request.duration - limits.waveReserve;
-    return now + limits.perMachine * rounds >= dueAt;
+    const auto remaining
+        = std::count_if(pending.begin(), pending.end(), [&](const Machine* m) { return m->pool == pool; });
+    const auto concurrency
+        = std::max(1, static_cast<int>(std::floor(poolSize(state, pool) * limits.maxUnavailableShare)));
+    const auto rounds = (remaining + concurrency - 1) / concurrency;
+    const auto deadline = wave.seenAt + wave.request.duration - limits.waveSafetyMargin;
+    return now + limits.timePerMachine * rounds >= deadline;
 }
 
-/// Machines that have to be away at once for the wave to be done in time. A wave that takes no more
-/// leaves the others to the pools.
-int neededAtOnce(const FleetState& state, const WaveState& wave, const FleetLimits& limits, TimePoint now)
+/// Fewest machines under maintenance at once that finish the wave in time. Taking no more leaves the rest to
+/// the pools.
+int requiredConcurrency(
+    const FleetState& state, const WaveState& wave, const FleetLimits& limits, TimePoint now)
 {
-    const auto left = std::count_if(wave.request.machines.begin(), wave.request.machines.end(),
+    const auto remaining = std::count_if(wave.request.machines.begin(), wave.request.machines.end(),
         [&](const std::string& id) { return !wave.done.contains(id) && state.machines.contains(id); });
-    const auto time = wave.seenAt + wave.request.duration - limits.waveReserve - now;
-    if (time <= limits.perMachine)
-        return static_cast<int>(left);
-    const auto work = std::chrono::duration<double>(limits.perMachine) * static_cast<double>(left);
+    const auto time = wave.seenAt + wave.request.duration - limits.waveSafetyMargin - now;
+    if (time <= limits.timePerMachine)
+        return static_cast<int>(remaining);
+    const auto work = std::chrono::duration<double>(limits.timePerMachine) * static_cast<double>(remaining);
     return static_cast<int>(std::ceil(work / std::chrono::duration<double>(time)));
 }
 
@@ -165,25 +168,26 @@
 
 std::vector<MachineTask> planMaintenance(const FleetState& state, const FleetLimits& limits, TimePoint now)
 {
-    std::vector<MachineTask> begun;
+    std::vector<MachineTask> started;
     FleetState planned = state;
     for (const auto& [number, wave] : state.waves) {
-        const auto due = dueMachines(planned, wave);
-        int room = std::min(wave.request.maxDown, neededAtOnce(planned, wave, limits, now))
-            - tasksOf(planned, number);
-        for (const auto* machine : due) {
-            if (room <= 0)
+        const auto pending = pendingMachines(planned, wave);
+        int slots = std::min(wave.request.maxDown, requiredConcurrency(planned, wave, limits, now))
+            - countMaintenanceTasks(planned, number);
+        for (const auto* machine : pending) {
+            if (slots <= 0)
                 break;
-            const bool pressed = isPressed(planned, wave, machine->pool, due, limits, now);
-            if (unavailableIn(planned, machine->pool) >= allowedAway(planned, machine->pool, limits, pressed))
+            const bool isUrgent = isPoolUrgent(planned, wave, machine->pool, pending, limits, now);
+            if (countUnavailable(planned, machine->pool)
+                >= unavailableLimit(planned, machine->pool, limits, isUrgent))
                 continue;
             MachineTask task { machine->id, MachineAction::Maintain, number, "", machine->vm };
             planned.tasks.emplace(machine->id, task);
-            begun.push_back(std::move(task));
-            --room;
+            started.push_back(std::move(task));
+            --slots;
         }
     }
-    return begun;
+    return started;
 }
 
 bool mayOrder(const FleetState& state, const MachineTask& task)
--- a/src/libscheduler/fleet_plan_test.cpp
+++ b/src/libscheduler/fleet_plan_test.cpp
@@ -263,7 +263,7 @@
     for (const char* id : { "b0", "b1", "b2", "b3", "s0", "s1" })
         state.movedAt[id] = clock.now();
     BOOST_TEST(planMoves(state, limits, clock.now()).empty());
-    clock.advance(limits.shortestStay);
+    clock.advance(limits.minStayTime);
     BOOST_TEST(!planMoves(state, limits, clock.now()).empty());
 }
 
--- a/src/libscheduler/job.cpp
+++ b/src/libscheduler/job.cpp
@@ -9,34 +9,36 @@
 
 using nlohmann::json;
 
-/// Adds a member unless it has its default value. Every node reads the row of every job, so rows are short.
-template <typename T> void put(json& out, const char* name, const T& value, const T& standard = T())
+/// Adds a member unless it has its default value. Every node reads the row of every job, so rows are kept
+/// short.
+template <typename T>
+void putUnlessDefault(json& out, const char* name, const T& value, const T& defaultValue = T())
 {
-    if (value != standard)
+    if (value != defaultValue)
         out[name] = value;
 }
 
 json toJson(const StepSpec& step)
 {
     json out = json::object();
-    put(out, "count", step.count, 1);
-    put(out, "cpu", step.need.cpu);
-    put(out, "memory", step.need.memoryMb);
-    put(out, "gpu", step.need.gpu);
-    put(out, "estimate", step.estimate.count());
-    put(out, "after", step.after);
-    put(out, "checkpoints", step.checkpoints);
-    put(out, "gang", step.gang);
-    put(out, "sameRack", step.sameRack);
-    put(out, "speculative", step.speculative);
-    put(out, "longRunning", step.longRunning);
-    put(out, "filler", step.filler);
-    put(out, "label", step.requiredLabel);
-    put(out, "rack", step.preferredRack);
-    put(out, "image", step.image);
-    put(out, "maxPerVm", step.maxPerVm);
-    put(out, "latencyTarget", step.latencyTarget.count());
-    put(out, "maxUnavailable", step.maxUnavailable);
+    putUnlessDefault(out, "count", step.count, 1);
+    putUnlessDefault(out, "cpu", step.need.cpu);
+    putUnlessDefault(out, "memory", step.need.memoryMb);
+    putUnlessDefault(out, "gpu", step.need.gpu);
+    putUnlessDefault(out, "estimate", step.estimate.count());
+    putUnlessDefault(out, "after", step.after);
+    putUnlessDefault(out, "checkpoints", step.checkpoints);
+    putUnlessDefault(out, "gang", step.gang);
+    putUnlessDefault(out, "sameRack", step.sameRack);
+    putUnlessDefault(out, "speculative", step.speculative);
+    putUnlessDefault(out, "longRunning", step.longRunning);
+    putUnlessDefault(out, "filler", step.filler);
+    putUnlessDefault(out, "label", step.requiredLabel);
+    putUnlessDefault(out, "rack", step.preferredRack);
+    putUnlessDefault(out, "image", step.image);
+    putUnlessDefault(out, "maxPerVm", step.maxPerVm);
+    putUnlessDefault(out, "latencyTarget", step.latencyTarget.count());
+    putUnlessDefault(out, "maxUnavailable", step.maxUnavailable);
     return out;
 }
 
@@ -95,7 +97,7 @@
     return task;
 }
 
-milliseconds longestChain(const std::vector<StepSpec>& steps)
+milliseconds criticalPathLength(const std::vector<StepSpec>& steps)
 {
     std::vector<milliseconds> ends(steps.size());
     milliseconds longest { 0 };
@@ -115,10 +117,10 @@
         steps.push_back(toJson(step));
     json value = { { "id", job.id }, { "queue", job.queue }, { "pool", job.pool }, { "steps", steps },
         { "attempts", job.maxAttempts }, { "acceptedAt", job.acceptedAt.count() } };
-    put(value, "specBytes", job.specBytes);
-    put(value, "occurrences", job.occurrences);
-    put(value, "firstDue", job.firstDue.count());
-    put(value, "period", job.period.count());
+    putUnlessDefault(value, "specBytes", job.specBytes);
+    putUnlessDefault(value, "occurrences", job.occurrences);
+    putUnlessDefault(value, "firstDue", job.firstDue.count());
+    putUnlessDefault(value, "period", job.period.count());
     return value.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
@@ -142,7 +144,7 @@
         job.acceptedAt = WallTime(value.at("acceptedAt").get<std::int64_t>());
         return job;
     } catch (const json::exception&) {
-        return std::nullopt; // not a row of ours; the caller logs it
+        return std::nullopt; // malformed row; the caller logs it
     }
 }
 
--- a/src/libscheduler/job_timing.cpp
+++ b/src/libscheduler/job_timing.cpp
@@ -5,8 +5,8 @@
 namespace damask::fleet {
 namespace {
 
-/// A job is late until this many times its objective has passed, and worth next to nothing after.
-constexpr int lateFactor = 3;
+/// Multiple of its objective after which a job is overdue instead of late.
+constexpr int overdueFactor = 3;
 
 } // namespace
 
@@ -20,8 +20,9 @@
 milliseconds objectiveSpan(const JobEntry& job, const Queue* queue)
 {
     if (!queue)
-        return job.chain;
-    return milliseconds(static_cast<std::int64_t>(static_cast<double>(job.chain.count()) * queue->stretch))
+        return job.criticalPath;
+    return milliseconds(
+               static_cast<std::int64_t>(static_cast<double>(job.criticalPath.count()) * queue->stretch))
         + queue->latencyTarget;
 }
 
@@ -29,7 +30,7 @@
 {
     if (took <= objective)
         return Timeliness::InTime;
-    return took <= objective * lateFactor ? Timeliness::Late : Timeliness::Overdue;
+    return took <= objective * overdueFactor ? Timeliness::Late : Timeliness::Overdue;
 }
 
 bool hasOneObjective(const JobSpec& job)
--- a/src/libscheduler/placement_choice.cpp
+++ b/src/libscheduler/placement_choice.cpp
@@ -8,10 +8,10 @@
 namespace damask::fleet {
 namespace {
 
-bool takesWork(const VmState& vm, TimePoint now)
+bool acceptsWork(const VmState& vm, TimePoint now)
 {
     return vm.listed && vm.read && !vm.silent && !vm.entry.draining && !vm.evacuating && vm.strangers.empty()
-        && now >= vm.asideUntil;
+        && now >= vm.quarantinedUntil;
 }
 
 bool hasLabel(const VmState& vm, const std::string& label)
@@ -20,15 +20,15 @@
         || std::find(vm.entry.labels.begin(), vm.entry.labels.end(), label) != vm.entry.labels.end();
 }
 
-Resources freeOf(const VmState& vm)
+Resources freeResources(const VmState& vm)
 {
     auto free = vm.entry.capacity;
     free -= vm.used;
     return free;
 }
 
-/// Runs of the task's step and occurrence on the VM.
-int siblingsOn(const VmState& vm, const TaskId& id)
+/// Number of runs of the task's step and occurrence on the VM.
+int countSiblings(const VmState& vm, const TaskId& id)
 {
     auto first = vm.runs.lower_bound({ id.job, id.occurrence, id.step, 0 });
     int count = 0;
@@ -40,33 +40,34 @@
     return count;
 }
 
-/// Left of a ticket's time for the order's way to the VM.
-constexpr milliseconds ticketMargin { 100 };
+/// Remaining validity that a ticket needs, so that the order arrives before it expires.
+constexpr milliseconds ticketSafetyMargin { 100 };
 
 bool hasTicket(const StepAdvice& advice, const VmState& vm, TimePoint now)
 {
     const auto ticket = advice.tickets.find(vm.entry.id);
-    return ticket != advice.tickets.end() && now + ticketMargin < ticket->second.validUntil;
+    return ticket != advice.tickets.end() && now + ticketSafetyMargin < ticket->second.validUntil;
 }
 
-const StepAdvice& adviceOf(const JobEntry& job, const TaskId& id)
+const StepAdvice& stepAdvice(const JobEntry& job, const TaskId& id)
 {
     return job.occurrences.at(id.occurrence).steps[static_cast<std::size_t>(id.step)].advice;
 }
 
-/// Whether one more task of the step fits on the VM.
-bool hasPlace(const VmState& vm, const StepSpec& step, const TaskId& id, TimePoint now)
+/// Whether the VM accepts work and has room for one more task of the step.
+bool canHost(const VmState& vm, const StepSpec& step, const TaskId& id, TimePoint now)
 {
-    return takesWork(vm, now) && hasLabel(vm, step.requiredLabel) && fits(reservedBy(step), freeOf(vm))
-        && (step.maxPerVm == 0 || siblingsOn(vm, id) < step.maxPerVm);
+    return acceptsWork(vm, now) && hasLabel(vm, step.requiredLabel)
+        && fits(reservedBy(step), freeResources(vm))
+        && (step.maxPerVm == 0 || countSiblings(vm, id) < step.maxPerVm);
 }
 
-/// Runs on the VM that should not be beside a task of this kind: fillers beside tasks that serve
-/// users, and the other way round.
-int conflictsOn(const PoolState& state, const VmState& vm, const StepSpec& step)
+/// Number of runs on the VM that should not share it with a task of the step: fillers and tasks with a
+/// latency target should not share a VM.
+int countConflicts(const PoolState& state, const VmState& vm, const StepSpec& step)
 {
-    const bool serves = step.latencyTarget.count() > 0;
-    if (!serves && !step.filler)
+    const bool hasLatencyTarget = step.latencyTarget.count() > 0;
+    if (!hasLatencyTarget && !step.filler)
         return 0;
     int count = 0;
     for (const auto& run : vm.runs) {
@@ -79,8 +80,8 @@
     return count;
 }
 
-/// Rack in which most tasks of the step run; empty if none runs.
-std::string rackOfSiblings(const PoolState& state, const JobEntry& job, const TaskId& id)
+/// Rack of the first task of the step that has a run; empty if none has.
+std::string siblingRack(const PoolState& state, const JobEntry& job, const TaskId& id)
 {
     const auto& step = job.occurrences.at(id.occurrence).steps[static_cast<std::size_t>(id.step)];
     for (const auto& task : step.tasks) {
@@ -93,10 +94,11 @@
     return "";
 }
 
-/// Smaller is better.
+/// Rank of a VM for a task: outside the preferred rack, conflicting runs, packing, negated CPU utilisation.
+/// Lower is better.
 using Score = std::tuple<bool, int, int, double>;
 
-int servingOn(const PoolState& state, const VmState& vm)
+int countLongRunning(const PoolState& state, const VmState& vm)
 {
     return static_cast<int>(std::count_if(vm.runs.begin(), vm.runs.end(), [&](const TaskId& run) {
         const auto job = state.jobs.find(run.job);
@@ -104,13 +106,14 @@
     }));
 }
 
-Score scoreOf(const PoolState& state, const VmState& vm, const StepSpec& step, const std::string& rack)
+Score computeScore(const PoolState& state, const VmState& vm, const StepSpec& step, const std::string& rack)
 {
-    const bool far = !rack.empty() && vm.entry.rack != rack;
+    const bool isOutsideRack = !rack.empty() && vm.entry.rack != rack;
     const auto capacity = static_cast<double>(std::max<std::int64_t>(vm.entry.capacity.cpu, 1));
-    // Tasks are packed, long-running ones above all, so that VMs become free to be moved.
-    const int together = step.longRunning ? -servingOn(state, vm) : 0;
-    return { far, conflictsOn(state, vm, step), together, -static_cast<double>(vm.used.cpu) / capacity };
+    // Tasks, above all long-running ones, are packed on few VMs, so that other machines become free to move.
+    const int packing = step.longRunning ? -countLongRunning(state, vm) : 0;
+    return { isOutsideRack, countConflicts(state, vm, step), packing,
+        -static_cast<double>(vm.used.cpu) / capacity };
 }
 
 } // namespace
@@ -118,21 +121,21 @@
 VmState* chooseVm(PoolState& state, const JobEntry& job, const TaskId& id, milliseconds waited, TimePoint now)
 {
     const auto& step = stepOf(job, id.step);
-    const bool advised = needsTicket(state, job);
-    const auto rack = step.sameRack ? rackOfSiblings(state, job, id) : step.preferredRack;
+    const bool requiresTicket = needsTicket(state, job);
+    const auto rack = step.sameRack ? siblingRack(state, job, id) : step.preferredRack;
     VmState* best = nullptr;
     Score bestScore;
     for (auto& [name, vm] : state.vms) {
-        if (!hasPlace(vm, step, id, now) || (advised && !hasTicket(adviceOf(job, id), vm, now)))
+        if (!canHost(vm, step, id, now) || (requiresTicket && !hasTicket(stepAdvice(job, id), vm, now)))
             continue;
-        const auto score = scoreOf(state, vm, step, rack);
+        const auto score = computeScore(state, vm, step, rack);
         if (best && !(score < bestScore))
             continue;
         best = &vm;
         bestScore = score;
     }
-    // Away from its data a task takes several times as long, so a short wait for the rack pays.
-    if (best && std::get<0>(bestScore) && waited < state.limits.farPenaltyWait)
+    // Outside the rack a task takes several times as long, so it first waits a short time for the rack.
+    if (best && std::get<0>(bestScore) && waited < state.limits.preferredRackWait)
         return nullptr;
     return best;
 }
@@ -143,22 +146,22 @@
     return queue != state.queues.end() && queue->second.advice;
 }
 
-std::vector<std::string> vmsToAskAbout(
+std::vector<std::string> adviceCandidates(
     const PoolState& state, const JobEntry& job, const TaskId& id, std::size_t limit, TimePoint now)
 {
     const auto& step = stepOf(job, id.step);
-    const auto& advice = adviceOf(job, id);
-    const auto rack = step.sameRack ? rackOfSiblings(state, job, id) : step.preferredRack;
-    std::vector<std::pair<Score, std::string>> found;
+    const auto& advice = stepAdvice(job, id);
+    const auto rack = step.sameRack ? siblingRack(state, job, id) : step.preferredRack;
+    std::vector<std::pair<Score, std::string>> candidates;
     for (const auto& [name, vm] : state.vms) {
-        if (!hasPlace(vm, step, id, now) || advice.denied.contains(name) || hasTicket(advice, vm, now))
+        if (!canHost(vm, step, id, now) || advice.deniedVms.contains(name) || hasTicket(advice, vm, now))
             continue;
-        found.emplace_back(scoreOf(state, vm, step, rack), name);
+        candidates.emplace_back(computeScore(state, vm, step, rack), name);
     }
-    std::sort(found.begin(), found.end());
-    found.resize(std::min(found.size(), limit));
+    std::sort(candidates.begin(), candidates.end());
+    candidates.resize(std::min(candidates.size(), limit));
     std::vector<std::string> names;
-    for (auto& [score, name] : found)
+    for (auto& [score, name] : candidates)
         names.push_back(std::move(name));
     return names;
 }
--- a/src/libscheduler/placement_choice_pvt.h
+++ b/src/libscheduler/placement_choice_pvt.h
@@ -1,20 +1,21 @@
 /// \file
-/// The choice of a VM for one task.
+/// Choice of a VM for one task.
 #pragma once
 
 #include <damaskworks/pool_state.h>
 
 namespace damask::fleet {
 
-/// VM on which the task starts now; nullptr if it has to wait. \p waited is the age of its
-/// occurrence.
+/// VM on which the task should start now; nullptr if it has to wait. \p waited is the time since its
+/// occurrence was due.
 VmState* chooseVm(
     PoolState& state, const JobEntry& job, const TaskId& id, milliseconds waited, TimePoint now);
 
-/// Whether the job's tasks run only on VMs with a ticket.
+/// Whether the job's tasks may run only on VMs with a ticket of the advice service.
 bool needsTicket(const PoolState& state, const JobEntry& job);
-/// VMs with room for the task of which it is not known whether they may run it, best first.
-std::vector<std::string> vmsToAskAbout(
+/// At most \p limit VMs that have room for the task and neither a valid ticket nor a denial for its step,
+/// best first.
+std::vector<std::string> adviceCandidates(
     const PoolState& state, const JobEntry& job, const TaskId& id, std::size_t limit, TimePoint now);
 
 } // namespace damask::fleet
--- a/src/libscheduler/pool_evacuation.cpp
+++ b/src/libscheduler/pool_evacuation.cpp
@@ -8,8 +8,8 @@
 namespace damask::fleet {
 namespace {
 
-/// Whether the task does its work: users of a long-running task are served.
-bool isAtWork(const PoolState& state, const TaskState& task)
+/// Whether a long-running task serves its users: it runs, is ready and its VM responds.
+bool isServing(const PoolState& state, const TaskState& task)
 {
     if (!task.run || task.run->phase != RunPhase::Running || task.run->percent < 100)
         return false;
@@ -17,25 +17,25 @@
     return vm != state.vms.end() && !vm->second.silent;
 }
 
-int unavailableIn(const PoolState& state, const StepState& step)
+int countUnavailable(const PoolState& state, const StepState& step)
 {
-    return static_cast<int>(std::count_if(
-        step.tasks.begin(), step.tasks.end(), [&](const TaskState& task) { return !isAtWork(state, task); }));
+    return static_cast<int>(std::count_if(step.tasks.begin(), step.tasks.end(),
+        [&](const TaskState& task) { return !isServing(state, task); }));
 }
 
-/// Stops a long-running task if its step can spare one more.
-void moveServingTask(PoolState& state, JobEntry& job, const TaskId& id, TaskState& task, TimePoint now)
+/// Marks a long-running task to be stopped if the disruption budget of its step allows one more.
+void stopWithinBudget(PoolState& state, JobEntry& job, const TaskId& id, TaskState& task, TimePoint now)
 {
     const auto& step = stepOf(job, id.step);
     auto& tasks = job.occurrences.at(id.occurrence).steps[static_cast<std::size_t>(id.step)];
-    // A task that is not at work is unavailable already.
-    const int others = unavailableIn(state, tasks) - (isAtWork(state, task) ? 0 : 1);
-    if (others < std::max(step.maxUnavailable, 1))
+    // A task that does not serve is unavailable already, so stopping it costs no budget.
+    const int unavailableOthers = countUnavailable(state, tasks) - (isServing(state, task) ? 0 : 1);
+    if (unavailableOthers < std::max(step.maxUnavailable, 1))
         markStopping(*task.run, now);
 }
 
-/// Room on each VM that takes work beside its long-running tasks; other tasks soon end.
-std::vector<Resources> roomBesideServing(const PoolState& state)
+/// Resources beside the long-running tasks on each VM that accepts work; other tasks end soon.
+std::vector<Resources> roomBesideLongRunning(const PoolState& state)
 {
     std::vector<Resources> out;
     for (const auto& [name, vm] : state.vms) {
@@ -52,8 +52,8 @@
     return out;
 }
 
-/// Adds the tasks of an occurrence that could run but have no place.
-void addWaiting(const std::vector<Resources>& rooms, PoolLoad& load, const JobEntry& job,
+/// Adds the waiting tasks of an occurrence's ready steps to the load.
+void addWaitingTasks(const std::vector<Resources>& rooms, PoolLoad& load, const JobEntry& job,
     const OccurrenceState& occurrence)
 {
     for (int s = 0; s < static_cast<int>(occurrence.steps.size()); ++s) {
@@ -72,20 +72,20 @@
         }
         load.waitingCpu += cpu;
         const auto need = reservedBy(step);
-        const bool fit = std::any_of(
+        const bool fitsSomewhere = std::any_of(
             rooms.begin(), rooms.end(), [&](const Resources& room) { return fits(need, room); });
-        if (!fit)
+        if (!fitsSomewhere)
             load.unfitCpu += cpu;
         load.waitingWork += cpu * step.estimate.count() / 1000;
     }
 }
 
-/// Most that a rate is foreseen to grow by: demand rises in seconds, and machines sent in vain are
-/// missing elsewhere.
-constexpr double mostGrowth = 3;
+/// Largest factor by which a rate is forecast to grow. Demand can rise within seconds, but machines moved for
+/// a wrong forecast are missing elsewhere.
+constexpr double maxForecastGrowth = 3;
 
-/// Processors that new work needs, foreseen from its rates in two windows. A growth is trusted as far as
-/// it is beyond half of the standard error of the two counts of jobs.
+/// CPU that new jobs will need, extrapolated from the arrival rates in the last two windows. The growth is
+/// weighted by how far the difference of the two job counts exceeds half of its standard error.
 std::int64_t arrivingCpu(const PoolState& state, TimePoint now)
 {
     double work[2] = {};
@@ -95,21 +95,21 @@
         const auto age = now - arrival.at;
         if (age >= window * 2)
             continue;
-        const int which = age < window ? 0 : 1;
-        work[which] += arrival.work;
-        ++jobs[which];
+        const int windowIndex = age < window ? 0 : 1;
+        work[windowIndex] += arrival.work;
+        ++jobs[windowIndex];
     }
     const double rate = work[0] / static_cast<double>(window.count());
-    const double earlier = work[1] / static_cast<double>(window.count());
-    const int more = jobs[0] - jobs[1];
-    if (more <= 0 || rate <= earlier)
+    const double earlierRate = work[1] / static_cast<double>(window.count());
+    const int jobGrowth = jobs[0] - jobs[1];
+    if (jobGrowth <= 0 || rate <= earlierRate)
         return static_cast<std::int64_t>(rate);
-    const double error = std::sqrt(static_cast<double>(jobs[0] + jobs[1]));
-    const double trust = std::max(0.0, 1 - error / (2 * more));
-    const double windows
-        = static_cast<double>(state.limits.foresight.count()) / static_cast<double>(window.count());
-    const double foreseen = rate + (rate - earlier) * trust * windows;
-    return static_cast<std::int64_t>(std::min(foreseen, rate * mostGrowth));
+    const double standardError = std::sqrt(static_cast<double>(jobs[0] + jobs[1]));
+    const double confidence = std::max(0.0, 1 - standardError / (2 * jobGrowth));
+    const double horizonWindows
+        = static_cast<double>(state.limits.forecastHorizon.count()) / static_cast<double>(window.count());
+    const double forecast = rate + (rate - earlierRate) * confidence * horizonWindows;
+    return static_cast<std::int64_t>(std::min(forecast, rate * maxForecastGrowth));
 }
 
 } // namespace
@@ -117,8 +117,8 @@
 void planEvacuations(PoolState& state, TimePoint now)
 {
     for (auto& [name, vm] : state.vms) {
-        const bool leaves = vm.evacuating || vm.entry.draining;
-        if (!leaves) {
+        const bool isLeaving = vm.evacuating || vm.entry.draining;
+        if (!isLeaving) {
             vm.evacuatingSince = TimePoint {};
             continue;
         }
@@ -130,8 +130,8 @@
             if (!task || !task->run || task->run->phase != RunPhase::Running || isFinal(job.state))
                 continue;
             if (stepOf(job, id.step).longRunning)
-                moveServingTask(state, job, id, *task, now);
-            else if (vm.evacuating && now - vm.evacuatingSince > state.limits.longestEvacuation)
+                stopWithinBudget(state, job, id, *task, now);
+            else if (vm.evacuating && now - vm.evacuatingSince > state.limits.evacuationTimeout)
                 markStopping(*task->run, now);
         }
     }
@@ -141,7 +141,7 @@
 {
     PoolLoad load;
     load.arrivingCpu = arrivingCpu(state, now);
-    const auto rooms = roomBesideServing(state);
+    const auto rooms = roomBesideLongRunning(state);
     for (const auto& [name, vm] : state.vms) {
         load.usedCpu += vm.used.cpu;
         if (vm.listed && vm.read && !vm.silent && !vm.evacuating && !vm.entry.draining) {
@@ -155,7 +155,7 @@
             load.servingCpu += reservedBy(step).cpu;
             load.serving.insert(vm.entry.machine);
         }
-        // What an unread VM runs is not known, so it is no machine without work.
+        // The runs of a VM that has not reported are unknown, so its machine does not count as idle.
         if (!vm.runs.empty() || !vm.read)
             load.runs[vm.entry.machine] = std::max(1, static_cast<int>(vm.runs.size()));
         if (!vm.read)
@@ -167,7 +167,7 @@
         if (isFinal(job.state))
             continue;
         for (const auto& [number, occurrence] : job.occurrences)
-            addWaiting(rooms, load, job, occurrence);
+            addWaitingTasks(rooms, load, job, occurrence);
     }
     return load;
 }
--- a/src/libscheduler/pool_pace.cpp
+++ b/src/libscheduler/pool_pace.cpp
@@ -7,50 +7,52 @@
 namespace damask::fleet {
 namespace {
 
-/// Share of the latency target above which fillers are slowed: the report is rough and half a
-/// second old.
-constexpr double slowAbove = 0.85;
-/// Share of the target below which they are released.
-constexpr double releaseBelow = 0.5;
-constexpr int paceStep = 25; ///< percent by which a filler is released at a time
-
-/// Largest tail latency on the VM as a share of its target.
-double worstServing(PoolState& state, const VmState& vm)
+/// Ratio of latency to its target above which fillers are throttled. It is below 1 because the reported
+/// latency is rough and half a second old.
+constexpr double throttleThreshold = 0.85;
+/// Ratio below which the CPU limit of fillers is raised again.
+constexpr double releaseThreshold = 0.5;
+constexpr int releaseStepPercent = 25; ///< by which a CPU limit is raised at a time
+constexpr int limitGranularityPercent = 5; ///< halved limits are rounded down to a multiple of this
+
+/// Largest ratio of tail latency to its target among the tasks on the VM.
+double worstLatencyRatio(PoolState& state, const VmState& vm)
 {
-    double worst = 0;
+    double ratio = 0;
     for (const auto& id : vm.runs) {
         const auto* task = findTask(state, id);
         const auto& step = stepOf(state.jobs.find(id.job)->second, id.step);
         if (!task || !task->run || step.latencyTarget.count() == 0)
             continue;
-        worst = std::max(
-            worst, static_cast<double>(task->run->load) / static_cast<double>(step.latencyTarget.count()));
+        ratio = std::max(ratio,
+            static_cast<double>(task->run->reportedLoad) / static_cast<double>(step.latencyTarget.count()));
     }
-    return worst;
+    return ratio;
 }
 
 } // namespace
 
-std::vector<PaceAction> planPaces(PoolState& state, std::string_view name, TimePoint)
+std::vector<CpuLimitAction> planPaces(PoolState& state, std::string_view vmId, TimePoint)
 {
-    std::vector<PaceAction> out;
-    auto found = state.vms.find(name);
+    std::vector<CpuLimitAction> out;
+    auto found = state.vms.find(vmId);
     if (found == state.vms.end())
         return out;
-    const double worst = worstServing(state, found->second);
-    if (worst <= slowAbove && worst >= releaseBelow)
+    const double ratio = worstLatencyRatio(state, found->second);
+    if (ratio <= throttleThreshold && ratio >= releaseThreshold)
         return out;
     for (const auto& id : found->second.runs) {
         auto* task = findTask(state, id);
         const auto& step = stepOf(state.jobs.find(id.job)->second, id.step);
         if (!task || !task->run || !step.filler || task->run->phase != RunPhase::Running)
             continue;
-        const int wanted
-            = worst > slowAbove ? task->run->pace / 2 / 5 * 5 : std::min(100, task->run->pace + paceStep);
-        if (wanted == task->run->pace)
+        const int limit = ratio > throttleThreshold
+            ? task->run->cpuLimitPercent / 2 / limitGranularityPercent * limitGranularityPercent
+            : std::min(100, task->run->cpuLimitPercent + releaseStepPercent);
+        if (limit == task->run->cpuLimitPercent)
             continue;
-        task->run->pace = wanted;
-        out.push_back({ std::string(name), id, task->run->number, wanted });
+        task->run->cpuLimitPercent = limit;
+        out.push_back({ std::string(vmId), id, task->run->number, limit });
     }
     return out;
 }
--- a/src/libscheduler/pool_plan.cpp
+++ b/src/libscheduler/pool_plan.cpp
@@ -11,37 +11,37 @@
 namespace damask::fleet {
 namespace {
 
-/// Order classes of waiting steps.
+/// Scheduling class of a waiting step, most urgent first.
 enum class Urgency {
-    Serving, ///< long-running tasks: each moment that they are away is lost
-    InTime, ///< can still meet the objective
-    Late, ///< has missed the objective, but not by so much that it is worth nothing
-    Overdue, ///< still has to be finished
+    Serving, ///< long-running tasks: users notice any time without them
+    InTime, ///< see Timeliness
+    Late,
+    Overdue,
 };
 
 /// A step with tasks that wait for a VM.
 struct WaitingStep {
     Urgency urgency = Urgency::InTime;
     int priority = 0;
-    WallTime objective { 0 };
+    WallTime objective { 0 }; ///< time by which the occurrence should have ended
     JobEntry* job = nullptr;
     int occurrence = 0;
     int step = 0;
 
-    auto order() const
+    auto sortKey() const
     {
         return std::tuple(urgency, priority, objective, std::string_view(job->spec.id), step);
     }
 };
 
-milliseconds remainingChain(const JobEntry& job, const OccurrenceState& occurrence)
+milliseconds remainingCriticalPath(const JobEntry& job, const OccurrenceState& occurrence)
 {
     auto steps = job.spec.steps;
     for (std::size_t i = 0; i < steps.size(); ++i) {
-        if (occurrence.steps[i].done == static_cast<int>(occurrence.steps[i].tasks.size()))
+        if (occurrence.steps[i].doneTasks == static_cast<int>(occurrence.steps[i].tasks.size()))
             steps[i].estimate = milliseconds(0);
     }
-    return longestChain(steps);
+    return criticalPathLength(steps);
 }
 
 Urgency urgencyOf(Timeliness timeliness)
@@ -57,24 +57,24 @@
     return Urgency::Overdue;
 }
 
-void classify(WaitingStep& waiting, const Queue* queue, WallTime wallNow)
+void setSortKey(WaitingStep& waiting, const Queue* queue, WallTime wallNow)
 {
     const auto& job = *waiting.job;
-    const auto span = objectiveSpan(job, queue);
+    const auto duration = objectiveSpan(job, queue);
     const auto due = dueAt(job, waiting.occurrence);
     waiting.priority = queue ? queue->priority : 0;
-    waiting.objective = due + span;
+    waiting.objective = due + duration;
     if (stepOf(job, waiting.step).longRunning) {
         waiting.urgency = Urgency::Serving;
         return;
     }
-    const auto took = wallNow + remainingChain(job, job.occurrences.at(waiting.occurrence)) - due;
-    waiting.urgency = urgencyOf(timelinessOf(took, span));
+    const auto took = wallNow + remainingCriticalPath(job, job.occurrences.at(waiting.occurrence)) - due;
+    waiting.urgency = urgencyOf(timelinessOf(took, duration));
 }
 
-bool isWaiting(const JobEntry& job, const TaskState& task, bool certain)
+bool isWaiting(const JobEntry& job, const TaskState& task, bool recoveryComplete)
 {
-    return !task.done && !task.run && (certain || !job.recovered);
+    return !task.done && !task.run && (recoveryComplete || !job.recovered);
 }
 
 void openDueOccurrences(JobEntry& job, WallTime wallNow)
@@ -83,20 +83,21 @@
         openOccurrence(job, job.nextOccurrence);
 }
 
-void collect(PoolState& state, JobEntry& job, bool certain, WallTime wallNow, std::vector<WaitingStep>& out)
+void collectWaitingSteps(
+    PoolState& state, JobEntry& job, bool recoveryComplete, WallTime wallNow, std::vector<WaitingStep>& out)
 {
     const auto queue = state.queues.find(job.spec.queue);
     for (auto& [number, occurrence] : job.occurrences) {
         for (int s = 0; s < static_cast<int>(occurrence.steps.size()); ++s) {
             const auto& step = occurrence.steps[static_cast<std::size_t>(s)];
-            if (step.done == static_cast<int>(step.tasks.size()) || !isStepReady(job, occurrence, s))
+            if (step.doneTasks == static_cast<int>(step.tasks.size()) || !isStepReady(job, occurrence, s))
                 continue;
-            const bool waits = std::any_of(step.tasks.begin(), step.tasks.end(),
-                [&](const TaskState& task) { return isWaiting(job, task, certain); });
-            if (!waits)
+            const bool hasWaitingTask = std::any_of(step.tasks.begin(), step.tasks.end(),
+                [&](const TaskState& task) { return isWaiting(job, task, recoveryComplete); });
+            if (!hasWaitingTask)
                 continue;
             WaitingStep waiting { .job = &job, .occurrence = number, .step = s };
-            classify(waiting, queue == state.queues.end() ? nullptr : &queue->second, wallNow);
+            setSortKey(waiting, queue == state.queues.end() ? nullptr : &queue->second, wallNow);
             out.push_back(waiting);
         }
     }
@@ -104,7 +105,7 @@
 
 std::uint32_t nextRun(const PoolState& state, const JobEntry& job, const TaskState& task)
 {
-    return std::max(task.lastRun, job.recovered ? runBase(state.term) : 0) + 1;
+    return std::max(task.lastRun, job.recovered ? runNumberBase(state.term) : 0) + 1;
 }
 
 StartAction startRun(PoolState& state, JobEntry& job, const TaskId& id, TaskState& task, VmState& vm,
@@ -116,7 +117,7 @@
     if (job.firstStart == TimePoint {})
         job.firstStart = now;
     if (!job.begun)
-        job.dirty = true; // its record has to be written before the order is given
+        job.dirty = true; // its record must be durable before the order is sent
     const auto& tickets
         = job.occurrences.at(id.occurrence).steps[static_cast<std::size_t>(id.step)].advice.tickets;
     const auto ticket = tickets.find(vm.entry.id);
@@ -126,34 +127,34 @@
     return action;
 }
 
-void noteNoPlace(PoolState& state, const WaitingStep& waiting)
+void recordMissingTicket(PoolState& state, const WaitingStep& waiting)
 {
     if (needsTicket(state, *waiting.job))
-        state.wantAdvice.push_back({ waiting.job->spec.id, waiting.occurrence, waiting.step });
+        state.stepsNeedingTickets.push_back({ waiting.job->spec.id, waiting.occurrence, waiting.step });
 }
 
-/// Places the waiting tasks of a step one by one, as far as there is room.
-void placeTasks(PoolState& state, const WaitingStep& waiting, bool certain, TimePoint now, WallTime wallNow,
-    std::vector<StartAction>& out)
+/// Starts the waiting tasks of a step one by one, until no VM can take the next.
+void placeTasks(PoolState& state, const WaitingStep& waiting, bool recoveryComplete, TimePoint now,
+    WallTime wallNow, std::vector<StartAction>& out)
 {
     auto& job = *waiting.job;
     auto& step = job.occurrences.at(waiting.occurrence).steps[static_cast<std::size_t>(waiting.step)];
     const auto waited = wallNow - dueAt(job, waiting.occurrence);
     for (std::size_t i = 0; i < step.tasks.size(); ++i) {
         auto& task = step.tasks[i];
-        if (!isWaiting(job, task, certain))
+        if (!isWaiting(job, task, recoveryComplete))
             continue;
         const TaskId id { job.spec.id, waiting.occurrence, waiting.step, static_cast<int>(i) };
         auto* vm = chooseVm(state, job, id, waited, now);
         if (!vm)
-            return noteNoPlace(state, waiting);
+            return recordMissingTicket(state, waiting);
         out.push_back(startRun(state, job, id, task, *vm, nextRun(state, job, task), task.checkpoint, now));
     }
 }
 
-/// Places all members of a gang at once, or none.
-void placeGang(PoolState& state, const WaitingStep& waiting, bool certain, TimePoint now, WallTime wallNow,
-    std::vector<StartAction>& out)
+/// Starts all members of a gang, or none if not all can be placed.
+void placeGang(PoolState& state, const WaitingStep& waiting, bool recoveryComplete, TimePoint now,
+    WallTime wallNow, std::vector<StartAction>& out)
 {
     auto& job = *waiting.job;
     auto& step = job.occurrences.at(waiting.occurrence).steps[static_cast<std::size_t>(waiting.step)];
@@ -161,7 +162,7 @@
     std::uint32_t number = 0;
     std::string checkpoint;
     for (const auto& task : step.tasks) {
-        if (!isWaiting(job, task, certain))
+        if (!isWaiting(job, task, recoveryComplete))
             return;
         number = std::max(number, nextRun(state, job, task));
         if (!task.checkpoint.empty())
@@ -180,17 +181,18 @@
         out.insert(out.end(), starts.begin(), starts.end());
         return;
     }
-    noteNoPlace(state, waiting);
+    recordMissingTicket(state, waiting);
     for (const auto& start : starts)
         releaseRun(state, start.order.task, step.tasks[static_cast<std::size_t>(start.order.task.index)]);
 }
 
-/// Whether no task of a recovered job can run unseen.
-bool isCertain(const PoolState& state, TimePoint now)
+/// Whether every run that an earlier holder started is known or has ended, so that the tasks of recovered
+/// jobs may be started.
+bool isRecoveryComplete(const PoolState& state, TimePoint now)
 {
     if (now >= state.uncertainUntil)
         return true;
-    // A registered VM that the platform does not know any more has ended.
+    // VMs that only the registry lists don't matter: they have ended.
     return state.knownVms
         && std::all_of(state.knownVms->begin(), state.knownVms->end(), [&](const std::string& id) {
                const auto vm = state.vms.find(id);
@@ -202,23 +204,23 @@
 
 std::vector<StartAction> planStarts(PoolState& state, TimePoint now, WallTime wallNow)
 {
-    const bool certain = isCertain(state, now);
+    const bool recoveryComplete = isRecoveryComplete(state, now);
     std::vector<WaitingStep> waiting;
     for (auto& [id, job] : state.jobs) {
         if (isFinal(job.state))
             continue;
         openDueOccurrences(job, wallNow);
-        collect(state, job, certain, wallNow, waiting);
+        collectWaitingSteps(state, job, recoveryComplete, wallNow, waiting);
     }
     std::sort(waiting.begin(), waiting.end(),
-        [](const WaitingStep& a, const WaitingStep& b) { return a.order() < b.order(); });
-    state.wantAdvice.clear();
+        [](const WaitingStep& a, const WaitingStep& b) { return a.sortKey() < b.sortKey(); });
+    state.stepsNeedingTickets.clear();
     std::vector<StartAction> out;
     for (const auto& step : waiting) {
         if (stepOf(*step.job, step.step).gang)
-            placeGang(state, step, certain, now, wallNow, out);
+            placeGang(state, step, recoveryComplete, now, wallNow, out);
         else
-            placeTasks(state, step, certain, now, wallNow, out);
+            placeTasks(state, step, recoveryComplete, now, wallNow, out);
     }
     return out;
 }
--- a/src/libscheduler/pool_reports.cpp
+++ b/src/libscheduler/pool_reports.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// What VMs say, turned into changes of the pool's state.
+/// Applies reports of VMs and outcomes of orders to the state of a pool, and plans stop orders.
 #include "pool_state_pvt.h"
 #include "progress_pvt.h"
 
@@ -9,36 +9,40 @@
 namespace damask::fleet {
 namespace {
 
-/// Most ends that a VM lists in one report.
+/// Most ends that a VM lists in one report. A report with as many may be incomplete.
 constexpr std::size_t maxListedEnds = 500;
 
-void noteSuccess(VmState& vm)
+void recordSuccess(VmState& vm)
 {
-    vm.failureStreak = 0;
-    vm.jobsInStreak = 0;
+    vm.consecutiveFailures = 0;
+    vm.distinctFailedJobs = 0;
     vm.lastFailedJob.clear();
-    vm.asideFor = milliseconds(0);
+    vm.quarantineTime = milliseconds(0);
 }
 
-/// A VM that fails the work of several jobs in a row is set aside; one bad job can't do that to it.
-void noteFailure(VmState& vm, const std::string& job, const PoolLimits& limits, TimePoint now)
+/// Counts a failure. A VM with consecutive failures of at least two jobs is quarantined; failures of a single
+/// job are likely the fault of that job.
+void recordFailure(VmState& vm, const std::string& job, const PoolLimits& limits, TimePoint now)
 {
-    if (now < vm.asideUntil)
-        return; // runs that had begun before
-    ++vm.failureStreak;
+    if (now < vm.quarantinedUntil)
+        return; // the run started before the quarantine
+    ++vm.consecutiveFailures;
     if (vm.lastFailedJob != job)
-        ++vm.jobsInStreak;
+        ++vm.distinctFailedJobs;
     vm.lastFailedJob = job;
-    if (vm.failureStreak < limits.failuresBeforeAside || vm.jobsInStreak < 2)
+    if (vm.consecutiveFailures < limits.failuresBeforeQuarantine || vm.distinctFailedJobs < 2)
         return;
-    vm.asideFor
-        = vm.asideFor.count() == 0 ? limits.firstAside : std::min(vm.asideFor * 2, limits.longestAside);
-    vm.asideUntil = now + vm.asideFor;
-    vm.failureStreak = limits.failuresBeforeAside - 1; // one more failure after the pause is enough
+    vm.quarantineTime = vm.quarantineTime.count() == 0
+        ? limits.firstQuarantine
+        : std::min(vm.quarantineTime * 2, limits.maxQuarantine);
+    vm.quarantinedUntil = now + vm.quarantineTime;
+    vm.consecutiveFailures
+        = limits.failuresBeforeQuarantine - 1; // one failure after the quarantine starts the next
 }
 
-/// A job counts as running once a VM has one of its tasks; an order alone may come to nothing.
-void noteStarted(JobEntry& job)
+/// Marks a job as running. A VM must have confirmed one of its tasks: a start order alone may be refused or
+/// lost.
+void markJobRunning(JobEntry& job)
 {
     if (job.state != JobState::Queued)
         return;
@@ -53,11 +57,11 @@
     releaseRun(state, id, task);
     task.done = true;
     auto& step = job.occurrences.at(id.occurrence).steps[static_cast<std::size_t>(id.step)];
-    ++step.done;
+    ++step.doneTasks;
     job.dirty = true;
 }
 
-/// One end `done` of a gang's run stands for all members of the run.
+/// Marks all members of a gang as done, which the end of one member with EndKind::Done implies.
 void finishGang(JobEntry& job, const TaskId& id)
 {
     auto& step = job.occurrences.at(id.occurrence).steps[static_cast<std::size_t>(id.step)];
@@ -67,9 +71,9 @@
         auto& task = step.tasks[i];
         if (task.done)
             continue;
-        // A member's room is free only when its own end is listed, so its run is kept until then.
+        // The run of a member keeps its resources until the VM lists its own end.
         task.done = true;
-        ++step.done;
+        ++step.doneTasks;
     }
     job.dirty = true;
 }
@@ -96,10 +100,10 @@
         return;
     auto& job = state.jobs.find(end.task.job)->second;
     const auto& step = stepOf(job, end.task.step);
-    noteStarted(job);
-    const bool current = task->run && task->run->vm == vm.entry.id && task->run->number == end.run;
-    if (!current && task->run) {
-        // Another run does the task's work. That this one failed still counts as an attempt.
+    markJobRunning(job);
+    const bool isCurrentRun = task->run && task->run->vm == vm.entry.id && task->run->number == end.run;
+    if (!isCurrentRun && task->run) {
+        // A newer run has the task. A failure of this one still counts as an attempt.
         if (end.kind == EndKind::Failed)
             failTask(state, job, *task, step, end.run);
         return;
@@ -108,19 +112,19 @@
     if (!end.checkpoint.empty() && !task->done) {
         task->checkpoint = end.checkpoint;
     }
-    if (current)
+    if (isCurrentRun)
         releaseRun(state, end.task, *task);
     switch (end.kind) {
     case EndKind::Done:
-        noteSuccess(vm);
+        recordSuccess(vm);
         if (step.gang)
             finishGang(job, end.task);
         else if (!step.longRunning)
             finishTask(state, job, end.task, *task);
-        refreshState(state, job);
+        completeIfDone(state, job);
         break;
     case EndKind::Failed:
-        noteFailure(vm, end.task.job, state.limits, now);
+        recordFailure(vm, end.task.job, state.limits, now);
         failTask(state, job, *task, step, end.run);
         break;
     case EndKind::Stopped:
@@ -143,17 +147,18 @@
         run.percent = report.percent;
         run.progressAt = now;
     }
-    run.load = report.load;
+    run.reportedLoad = report.load;
 }
 
-/// A run that this holder did not order: adopted if its task is free, else to be stopped.
+/// Handles a run that this holder did not order. Adopts it if its job was recovered and its task has no run,
+/// else records it as an orphan run to be stopped.
 void adoptRun(PoolState& state, VmState& vm, const RunReport& report, TimePoint now)
 {
     auto* task = findTask(state, report.task);
     const auto job = state.jobs.find(report.task.job);
-    const bool wanted = task && !task->done && !task->run && job->second.recovered
+    const bool adoptable = task && !task->done && !task->run && job->second.recovered
         && !isFinal(job->second.state) && report.run >= task->lastRun;
-    if (!wanted) {
+    if (!adoptable) {
         vm.strangers.try_emplace({ report.task, report.run });
         return;
     }
@@ -161,7 +166,7 @@
     run.orderedAt = now;
     placeRun(state, vm, report.task, *task, run);
     confirmRun(*task->run, report, now);
-    noteStarted(job->second);
+    markJobRunning(job->second);
 }
 
 void applyRunning(PoolState& state, VmState& vm, const RunReport& report, TimePoint now)
@@ -170,13 +175,14 @@
     if (task && !report.checkpoint.empty() && !task->done)
         task->checkpoint = report.checkpoint;
     if (task && task->run && task->run->vm == vm.entry.id && task->run->number == report.run) {
-        noteStarted(state.jobs.find(report.task.job)->second);
+        markJobRunning(state.jobs.find(report.task.job)->second);
         return confirmRun(*task->run, report, now);
     }
     adoptRun(state, vm, report, now);
 }
 
-/// A run that the VM does not list any more, or whose order can no longer take effect, is over.
+/// Releases runs that the VM does not list any more. Before it was asked, it must have confirmed the run, or
+/// its stop, after which a delayed start order can no longer take effect.
 void releaseMissing(PoolState& state, VmState& vm, const std::set<TaskId>& listed, TimePoint sentAt)
 {
     const auto runs = vm.runs;
@@ -186,8 +192,8 @@
             continue;
         const auto& run = *task->run;
         const bool confirmed = run.confirmedAt != TimePoint {} && run.confirmedAt < sentAt;
-        const bool stopped = run.stopAnsweredAt != TimePoint {} && run.stopAnsweredAt < sentAt;
-        if (confirmed || stopped)
+        const bool stopConfirmed = run.stopConfirmedAt != TimePoint {} && run.stopConfirmedAt < sentAt;
+        if (confirmed || stopConfirmed)
             releaseRun(state, id, *task);
     }
 }
@@ -209,23 +215,23 @@
     vm.born = report.born;
     vm.silent = false;
     vm.read = true;
-    vm.clock = report.vmClock;
-    vm.clockAt = now;
+    vm.reportedClock = report.vmClock;
+    vm.clockReportedAt = now;
     for (const auto& end : report.ended) {
         if (end.number <= vm.applied)
             continue;
         vm.applied = end.number;
         applyEnd(state, vm, end, now);
     }
-    const auto earlierStrangers = std::exchange(vm.strangers, {});
+    const auto earlierOrphans = std::exchange(vm.strangers, {});
     std::set<TaskId> listed;
     for (const auto& run : report.running) {
         listed.insert(run.task);
         applyRunning(state, vm, run, now);
     }
-    for (auto& [run, nextStop] : vm.strangers) {
-        if (const auto earlier = earlierStrangers.find(run); earlier != earlierStrangers.end())
-            nextStop = earlier->second;
+    for (auto& [run, nextStopAt] : vm.strangers) {
+        if (const auto earlier = earlierOrphans.find(run); earlier != earlierOrphans.end())
+            nextStopAt = earlier->second;
     }
     if (report.ended.size() < maxListedEnds)
         releaseMissing(state, vm, listed, sentAt);
@@ -258,16 +264,16 @@
             run.phase = RunPhase::Running;
             run.confirmedAt = run.progressAt = now;
         }
-        noteStarted(state.jobs.find(id.job)->second);
+        markJobRunning(state.jobs.find(id.job)->second);
         return;
     case OrderOutcome::Unknown:
         found->second.silent = true;
         if (run.phase == RunPhase::Starting)
             run.phase = RunPhase::Unknown;
-        run.nextStop = now;
+        run.nextStopAt = now;
         return;
     case OrderOutcome::Refused:
-        noteFailure(found->second, id.job, state.limits, now);
+        recordFailure(found->second, id.job, state.limits, now);
         break;
     case OrderOutcome::Unreachable:
         found->second.silent = true;
@@ -293,7 +299,7 @@
     if (!task || !task->run || task->run->vm != name || task->run->number != number)
         return;
     if (outcome == OrderOutcome::Accepted)
-        task->run->stopAnsweredAt = now;
+        task->run->stopConfirmedAt = now;
 }
 
 namespace {
@@ -302,7 +308,7 @@
 {
     if (step.longRunning || run.phase != RunPhase::Running || run.confirmedAt == TimePoint {})
         return false;
-    const auto allowed = std::max(state.limits.shortestStall,
+    const auto allowed = std::max(state.limits.minStallTime,
         milliseconds(static_cast<std::int64_t>(
             static_cast<double>(step.estimate.count()) * state.limits.stallFactor)));
     return now - run.progressAt > allowed;
@@ -314,10 +320,10 @@
 {
     std::vector<StopAction> stops;
     for (auto& [name, vm] : state.vms) {
-        for (auto& [run, nextStop] : vm.strangers) {
-            if (now < nextStop)
+        for (auto& [run, nextStopAt] : vm.strangers) {
+            if (now < nextStopAt)
                 continue;
-            nextStop = now + state.limits.stopRetry;
+            nextStopAt = now + state.limits.stopRetryDelay;
             stops.push_back({ name, run.first, run.second });
         }
         for (const auto& id : vm.runs) {
@@ -330,12 +336,12 @@
                 markStopping(run, now);
             if (isStalled(state, stepOf(job, id.step), run, now)) {
                 markStopping(run, now);
-                noteFailure(vm, id.job, state.limits, now);
+                recordFailure(vm, id.job, state.limits, now);
             }
             const bool stopping = run.phase == RunPhase::Stopping || run.phase == RunPhase::Unknown;
-            if (!stopping || run.stopAnsweredAt != TimePoint {} || now < run.nextStop)
+            if (!stopping || run.stopConfirmedAt != TimePoint {} || now < run.nextStopAt)
                 continue;
-            run.nextStop = now + state.limits.stopRetry;
+            run.nextStopAt = now + state.limits.stopRetryDelay;
             stops.push_back({ name, id, run.number });
         }
     }
--- a/src/libscheduler/pool_state.cpp
+++ b/src/libscheduler/pool_state.cpp
@@ -39,11 +39,11 @@
     if (state.jobs.contains(spec.id))
         return;
     JobEntry job;
-    job.chain = longestChain(spec.steps);
+    job.criticalPath = criticalPathLength(spec.steps);
     job.spec = std::move(spec);
     job.hasSpec = job.spec.specBytes == 0;
     job.begun = !progress.empty();
-    // Without a record its earlier holder has started nothing.
+    // Without a record no earlier holder has started any task.
     job.recovered = recovered && job.begun;
     if (!progress.empty())
         decodeProgress(job, progress);
@@ -53,7 +53,7 @@
         openOccurrence(job, 0);
     const auto id = job.spec.id;
     auto& entry = state.jobs.emplace(id, std::move(job)).first->second;
-    refreshState(state, entry);
+    completeIfDone(state, entry);
 }
 
 void noteArrival(PoolState& state, const JobSpec& job, TimePoint now)
@@ -86,7 +86,7 @@
     const auto index = static_cast<std::size_t>(id.index);
     if (step >= job->second.spec.steps.size())
         return nullptr;
-    // A run of an occurrence shows that it had begun, whether or not its record says so.
+    // A run of an occurrence proves that the occurrence was opened, even if the record lacks it.
     const int limit = std::max(job->second.spec.occurrences, 1);
     if (id.occurrence >= limit)
         return nullptr;
@@ -99,13 +99,13 @@
 {
     for (int before : stepOf(job, step).after) {
         const auto& earlier = occurrence.steps[static_cast<std::size_t>(before)];
-        if (earlier.done < static_cast<int>(earlier.tasks.size()))
+        if (earlier.doneTasks < static_cast<int>(earlier.tasks.size()))
             return false;
     }
     return true;
 }
 
-void refreshState(PoolState& state, JobEntry& job)
+void completeIfDone(PoolState& state, JobEntry& job)
 {
     if (isFinal(job.state))
         return;
@@ -113,7 +113,7 @@
     bool all = static_cast<int>(job.occurrences.size()) >= wanted;
     for (const auto& [number, occurrence] : job.occurrences) {
         for (const auto& step : occurrence.steps)
-            all = all && step.done == static_cast<int>(step.tasks.size());
+            all = all && step.doneTasks == static_cast<int>(step.tasks.size());
     }
     (void)state;
     if (!all)
@@ -146,7 +146,7 @@
     if (run.phase == RunPhase::Stopping)
         return;
     run.phase = RunPhase::Stopping;
-    run.nextStop = now;
+    run.nextStopAt = now;
 }
 
 void releaseAllRuns(PoolState& state, VmState& vm)
@@ -183,8 +183,8 @@
 
 milliseconds extendLease(VmState& vm, const PoolLimits& limits, TimePoint now)
 {
-    const auto elapsed = std::chrono::duration_cast<milliseconds>(now - vm.clockAt);
-    vm.leaseUntil = std::max(vm.leaseUntil, vm.clock + elapsed + limits.vmLease);
+    const auto elapsed = std::chrono::duration_cast<milliseconds>(now - vm.clockReportedAt);
+    vm.leaseUntil = std::max(vm.leaseUntil, vm.reportedClock + elapsed + limits.vmLease);
     return vm.leaseUntil;
 }
 
@@ -192,21 +192,21 @@
 {
     HoldOrder order;
     order.acknowledged = vm.acknowledged;
-    // A VM that does not answer is given no more time, so that its tasks can be given up.
+    // The lease of an unresponsive VM is not renewed, so that its tasks can be released once it expires.
     if (!vm.read || vm.silent || vm.runs.empty())
         return order;
     order.leaseUntil = extendLease(vm, limits, now);
     if (vm.strangers.empty())
-        order.wait = limits.holdWait;
+        order.wait = limits.maxHoldWait;
     return order;
 }
 
-bool leaseIsOver(const VmState& vm, const PoolLimits& limits, TimePoint now)
+bool isLeaseExpired(const VmState& vm, const PoolLimits& limits, TimePoint now)
 {
     if (!vm.read)
         return false;
-    const auto elapsed = std::chrono::duration<double, std::milli>(now - vm.clockAt);
-    return static_cast<double>(vm.clock.count()) + elapsed.count() * limits.slowestVmClock
+    const auto elapsed = std::chrono::duration<double, std::milli>(now - vm.clockReportedAt);
+    return static_cast<double>(vm.reportedClock.count()) + elapsed.count() * limits.slowestVmClock
         > static_cast<double>(vm.leaseUntil.count());
 }
 
@@ -214,7 +214,7 @@
 {
     for (auto it = state.vms.begin(); it != state.vms.end();) {
         auto& vm = it->second;
-        const bool over = vm.read ? leaseIsOver(vm, state.limits, now) : now >= state.uncertainUntil;
+        const bool over = vm.read ? isLeaseExpired(vm, state.limits, now) : now >= state.uncertainUntil;
         if (vm.silent && vm.read && over)
             releaseAllRuns(state, vm);
         if (!vm.listed && over && vm.runs.empty()) {
--- a/src/libscheduler/pool_state_pvt.h
+++ b/src/libscheduler/pool_state_pvt.h
@@ -1,17 +1,18 @@
 /// \file
-/// Bookkeeping shared by the parts of the pool's state.
+/// Resource accounting of runs, shared by the sources of the pool's state.
 #pragma once
 
 #include <damaskworks/pool_state.h>
 
 namespace damask::fleet {
 
-/// What a task of the step takes from a VM's capacity.
+/// Resources that a task of the step reserves on a VM; no CPU for fillers.
 Resources reservedBy(const StepSpec& step);
-/// Records a run and reserves its room.
+/// Records a run and reserves its resources.
 void placeRun(PoolState& state, VmState& vm, const TaskId& id, TaskState& task, RunState run);
-/// Ends a run and frees its room.
+/// Removes a run and frees its resources.
 void releaseRun(PoolState& state, const TaskId& id, TaskState& task);
+/// Releases all runs on the VM and forgets its orphan runs.
 void releaseAllRuns(PoolState& state, VmState& vm);
 
 } // namespace damask::fleet
--- a/src/libscheduler/pool_state_test.cpp
+++ b/src/libscheduler/pool_state_test.cpp
@@ -188,7 +188,7 @@
     out = run();
     BOOST_REQUIRE(out.size() == 1u);
     BOOST_TEST(out[0].order.task.job == "j1");
-    BOOST_TEST(out[0].order.run > runBase(1));
+    BOOST_TEST(out[0].order.run > runNumberBase(1));
 }
 
 BOOST_AUTO_TEST_CASE(registeredVmThatThePlatformDoesNotKnowHoldsNothingUp)
@@ -317,7 +317,7 @@
         ends.push_back(end(++number, start, EndKind::Failed));
     report("v1", ends);
     BOOST_TEST(starts().empty());
-    advance(state.limits.firstAside);
+    advance(state.limits.firstQuarantine);
     BOOST_TEST(!starts().empty());
 }
 
--- a/src/libscheduler/progress.cpp
+++ b/src/libscheduler/progress.cpp
@@ -9,31 +9,32 @@
 
 using nlohmann::json;
 
-constexpr int bitsPerDigit = 4;
+constexpr int bitsPerHexDigit = 4;
 
-std::string doneDigits(const StepState& step)
+/// Hexadecimal bitmap of the tasks that are done, four tasks per digit, lowest bit first.
+std::string encodeDoneBits(const StepState& step)
 {
     static constexpr char digits[] = "0123456789abcdef";
-    std::string out((step.tasks.size() + bitsPerDigit - 1) / bitsPerDigit, '0');
+    std::string out((step.tasks.size() + bitsPerHexDigit - 1) / bitsPerHexDigit, '0');
     for (std::size_t i = 0; i < step.tasks.size(); ++i) {
         if (!step.tasks[i].done)
             continue;
-        char& digit = out[i / bitsPerDigit];
+        char& digit = out[i / bitsPerHexDigit];
         const int value = digit <= '9' ? digit - '0' : digit - 'a' + 10;
-        digit = digits[value | (1 << (i % bitsPerDigit))];
+        digit = digits[value | (1 << (i % bitsPerHexDigit))];
     }
     return out;
 }
 
-void markDone(StepState& step, const std::string& digits)
+void decodeDoneBits(StepState& step, const std::string& digits)
 {
-    for (std::size_t i = 0; i < step.tasks.size() && i / bitsPerDigit < digits.size(); ++i) {
-        const char digit = digits[i / bitsPerDigit];
+    for (std::size_t i = 0; i < step.tasks.size() && i / bitsPerHexDigit < digits.size(); ++i) {
+        const char digit = digits[i / bitsPerHexDigit];
         const int value = digit <= '9' ? digit - '0' : digit - 'a' + 10;
-        if (!(value & (1 << (i % bitsPerDigit))) || step.tasks[i].done)
+        if (!(value & (1 << (i % bitsPerHexDigit))) || step.tasks[i].done)
             continue;
         step.tasks[i].done = true;
-        ++step.done;
+        ++step.doneTasks;
     }
 }
 
@@ -44,7 +45,7 @@
     json saved = json::array();
     for (std::size_t s = 0; s < occurrence.steps.size(); ++s) {
         const auto& step = occurrence.steps[s];
-        done.push_back(doneDigits(step));
+        done.push_back(encodeDoneBits(step));
         for (std::size_t i = 0; i < step.tasks.size(); ++i) {
             const auto& task = step.tasks[i];
             if (!task.failedRuns.empty())
@@ -74,7 +75,7 @@
 {
     const auto& done = value.at("done");
     for (std::size_t s = 0; s < occurrence.steps.size() && s < done.size(); ++s)
-        markDone(occurrence.steps[s], done[s].get<std::string>());
+        decodeDoneBits(occurrence.steps[s], done[s].get<std::string>());
     for (const auto& entry : value.value("failed", json::array())) {
         if (auto* task = taskAt(occurrence, entry))
             task->failedRuns = entry.at(2).get<std::set<std::uint32_t>>();
--- a/src/libscheduler/progress_pvt.h
+++ b/src/libscheduler/progress_pvt.h
@@ -1,16 +1,16 @@
 /// \file
-/// Reading of a job's durable record.
+/// Restoring a job from its durable record.
 #pragma once
 
 #include <damaskworks/pool_state.h>
 
 namespace damask::fleet {
 
-/// Takes over a durable record; false if it can't be read whole.
+/// Applies a durable record to the job. Returns false if it is malformed; what precedes the error is applied.
 bool decodeProgress(JobEntry& job, std::string_view progress);
-/// The occurrence \p number, made if it does not exist yet.
+/// The occurrence \p number, created if it does not exist yet.
 OccurrenceState& openOccurrence(JobEntry& job, int number);
-/// Sets the state that follows from the tasks.
-void refreshState(PoolState& state, JobEntry& job);
+/// Marks the job as completed if all its occurrences exist and all their tasks are done.
+void completeIfDone(PoolState& state, JobEntry& job);
 
 } // namespace damask::fleet
--- a/src/libscheduler/response_time.cpp
+++ b/src/libscheduler/response_time.cpp
@@ -8,20 +8,20 @@
 
 using std::chrono::milliseconds;
 
-/// Weights of a new answer, from RFC 6298.
+/// Weights of a new response time and of the variation in the timeout, from RFC 6298.
 constexpr double meanWeight = 1.0 / 8;
 constexpr double variationWeight = 1.0 / 4;
 constexpr double variationFactor = 4;
-/// Answers take some 10 ms; the rest covers a burst of other calls before this one.
-constexpr milliseconds shortestPatience { 150 };
-constexpr int mostDoublings = 3;
+/// Responses take some 10 ms; the rest covers a burst of other calls ahead of this one.
+constexpr milliseconds minTimeout { 150 };
+constexpr int maxBackoffDoublings = 3;
 
 } // namespace
 
 void noteAnswer(ResponseTimes& times, std::chrono::duration<double, std::milli> time)
 {
-    times.silences = 0;
-    if (!times.known) {
+    times.consecutiveTimeouts = 0;
+    if (!times.hasSample) {
         times = { time, time / 2, true, 0 };
         return;
     }
@@ -30,14 +30,17 @@
     times.mean = times.mean * (1 - meanWeight) + time * meanWeight;
 }
 
-void noteSilence(ResponseTimes& times) { times.silences = std::min(times.silences + 1, mostDoublings); }
+void noteSilence(ResponseTimes& times)
+{
+    times.consecutiveTimeouts = std::min(times.consecutiveTimeouts + 1, maxBackoffDoublings);
+}
 
 milliseconds patience(const ResponseTimes& times, milliseconds limit)
 {
-    if (!times.known)
+    if (!times.hasSample)
         return limit;
     const auto expected = std::chrono::ceil<milliseconds>(times.mean + times.variation * variationFactor);
-    return std::min(limit, std::max(expected, shortestPatience) * (1 << times.silences));
+    return std::min(limit, std::max(expected, minTimeout) * (1 << times.consecutiveTimeouts));
 }
 
 } // namespace damask::fleet
--- a/src/libscheduler/start_gate.cpp
+++ b/src/libscheduler/start_gate.cpp
@@ -5,8 +5,9 @@
 namespace damask::fleet {
 namespace {
 
-/// Whether the run is still to be started; renews the lease that its order carries.
-bool refresh(PoolState& state, StartAction& start, TimePoint now)
+/// Fills the spec and a fresh lease into the start order. Returns false if the run is no longer to be
+/// started.
+bool prepareOrder(PoolState& state, StartAction& start, TimePoint now)
 {
     const auto* task = findTask(state, start.order.task);
     const auto vm = state.vms.find(start.vm);
@@ -33,7 +34,7 @@
             continue;
         }
         for (auto& start : it->second) {
-            if (refresh(state, start, now))
+            if (prepareOrder(state, start, now))
                 out.push_back(std::move(start));
         }
         it = waiting.erase(it);
--- a/src/libscheduler/step_advice.cpp
+++ b/src/libscheduler/step_advice.cpp
@@ -8,10 +8,10 @@
 namespace damask::fleet {
 namespace {
 
-/// VMs asked about at once: the objective allows for the time of one question about so many.
-constexpr std::size_t vmsPerQuestion = 30;
-/// After a question that failed; the service takes one call of a node at a time.
-constexpr milliseconds questionPause { 200 };
+/// The objective of a job leaves time for one request about this many VMs.
+constexpr std::size_t maxVmsPerRequest = 30;
+/// Delay after a failed request; the service accepts one call of a node at a time.
+constexpr milliseconds retryDelay { 200 };
 
 StepState* findStep(PoolState& state, const StepId& id)
 {
@@ -26,43 +26,43 @@
 
 } // namespace
 
-std::optional<AdviceQuestion> planAdvice(PoolState& state, TimePoint now)
+std::optional<AdviceRequest> planAdvice(PoolState& state, TimePoint now)
 {
-    for (const auto& id : state.wantAdvice) {
+    for (const auto& id : state.stepsNeedingTickets) {
         auto* step = findStep(state, id);
-        if (!step || step->advice.asked || now < step->advice.nextQuestion)
+        if (!step || step->advice.isRequestPending || now < step->advice.nextRequestAt)
             continue;
         const auto& job = state.jobs.find(id.job)->second;
         const auto queue = state.queues.find(job.spec.queue);
         if (queue == state.queues.end() || !queue->second.advice)
             continue;
-        auto vms = vmsToAskAbout(state, job, { id.job, id.occurrence, id.step, 0 }, vmsPerQuestion, now);
+        auto vms = adviceCandidates(state, job, { id.job, id.occurrence, id.step, 0 }, maxVmsPerRequest, now);
         if (vms.empty())
             continue;
-        step->advice.asked = true;
+        step->advice.isRequestPending = true;
         const auto& terms = *queue->second.advice;
         const auto count = static_cast<int>(vms.size());
-        return AdviceQuestion { id, std::move(vms), terms.decision + terms.perVm * count };
+        return AdviceRequest { id, std::move(vms), terms.decision + terms.perVm * count };
     }
     return std::nullopt;
 }
 
-void applyAdvice(PoolState& state, const AdviceQuestion& question,
+void applyAdvice(PoolState& state, const AdviceRequest& request,
     const tl::expected<Advice, OrderOutcome>& answer, TimePoint now)
 {
-    auto* step = findStep(state, question.step);
+    auto* step = findStep(state, request.step);
     if (!step)
         return;
     auto& advice = step->advice;
-    advice.asked = false;
+    advice.isRequestPending = false;
     if (!answer) {
-        advice.nextQuestion = now + questionPause;
+        advice.nextRequestAt = now + retryDelay;
         return;
     }
-    for (const auto& vm : question.vms) {
+    for (const auto& vm : request.vms) {
         const auto ticket = answer->tickets.find(vm);
         if (ticket == answer->tickets.end())
-            advice.denied.insert(vm);
+            advice.deniedVms.insert(vm);
         else
             advice.tickets[vm] = { ticket->second, now + answer->validFor };
     }
--- a/src/libscheduler/table_contact.cpp
+++ b/src/libscheduler/table_contact.cpp
@@ -3,18 +3,20 @@
 namespace damask::fleet {
 namespace {
 
-constexpr int failuresToDoubt = 2;
-/// Two may be one connection that broke with a call on it, and its repetition.
-constexpr int failuresToGiveUp = 3;
-/// Calls for changes return within 1 s; the rest is their way, the pause after them and a slow table.
-constexpr std::chrono::milliseconds longestSilence { 1500 };
-
-/// By then the balancer has taken a node out whose neighbours are well; who still comes finds no other.
-constexpr std::chrono::milliseconds outageAge { 2000 };
-/// The time that another node needs to be chosen.
-constexpr std::chrono::seconds soon { 1 };
-/// Callers come back four times; outages of the table last up to about 6 s.
-constexpr std::chrono::seconds later { 2 };
+constexpr int failuresUntilDoubted = 2;
+/// Two failures may come from one broken connection: the call on it and its retry.
+constexpr int failuresUntilUnreachable = 3;
+/// Calls that wait for changes return within 1 s; the rest covers network time, the pause between calls and a
+/// slow table.
+constexpr std::chrono::milliseconds maxSilence { 1500 };
+
+/// Age of the last response from which the table itself counts as down. By then the balancer has taken a node
+/// that alone is affected out of rotation, so callers that still arrive have no better node.
+constexpr std::chrono::milliseconds outageThreshold { 2000 };
+/// Enough for the balancer to choose another node.
+constexpr std::chrono::seconds shortRetryDelay { 1 };
+/// Callers retry four times; outages of the table last up to about 6 s.
+constexpr std::chrono::seconds longRetryDelay { 2 };
 
 } // namespace
 
@@ -24,17 +26,17 @@
 
 bool looksReachable(const TableContact& contact, TimePoint now)
 {
-    return contact.failures < failuresToDoubt && now - contact.lastAnswer < longestSilence;
+    return contact.failures < failuresUntilDoubted && now - contact.lastAnswer < maxSilence;
 }
 
 std::chrono::seconds retryAfter(const TableContact& contact, TimePoint now)
 {
-    return now - contact.lastAnswer < outageAge ? soon : later;
+    return now - contact.lastAnswer < outageThreshold ? shortRetryDelay : longRetryDelay;
 }
 
 bool isLost(const TableContact& contact, TimePoint now)
 {
-    return contact.failures >= failuresToGiveUp || now - contact.lastAnswer >= longestSilence;
+    return contact.failures >= failuresUntilUnreachable || now - contact.lastAnswer >= maxSilence;
 }
 
 } // namespace damask::fleet
