--- a/src/include/damaskworks/fleet_plan.h
+++ b/src/include/damaskworks/fleet_plan.h
@@ -53,7 +53,7 @@
 /// Progress of a machine task.
 enum class MachineTaskState {
     Emptying, ///< the holder of its pool drains the machine
-    Ordered, ///< the platform has accepted the order
+    Ordered, ///< the platform has accepted the command
 };
 
 inline constexpr NameTable<MachineTaskState, 2> machineTaskStateNames { {
@@ -119,13 +119,13 @@
 /// New moves of machines to pools that need them: standby machines first, then the least loaded machines of
 /// pools with a surplus. Machines with long-running tasks are not moved.
 std::vector<MachineTask> planMoves(const FleetState& state, const FleetLimits& limits, TimePoint now);
-/// Whether the machine is drained, so that the platform may be ordered to carry out the task.
+/// Whether the machine is drained, so that the platform may be told to carry out the task.
 bool mayOrder(const FleetState& state, const MachineTask& task);
 /// Whether the task is finished: the machine is up in the right pool and runs a new VM, or is in a standby
 /// pool, whose VMs are off.
 bool isBack(const FleetState& state, const MachineTask& task);
 /// Whether the task can't be finished or has become pointless: its machine is down or was removed, or it
-/// came up with another VM before the order was given.
+/// came up with another VM before the command was sent.
 bool isAbandoned(const FleetState& state, const MachineTask& task);
 /// Whether maintenance is finished for every machine of the wave that still exists.
 bool isComplete(const FleetState& state, const WaveState& wave);
--- a/src/include/damaskworks/pool_plan.h
+++ b/src/include/damaskworks/pool_plan.h
@@ -7,7 +7,7 @@
 
 namespace damask::fleet {
 
-/// Chooses VMs for waiting tasks and records the starts as runs. The caller sends the orders.
+/// Chooses VMs for waiting tasks and records the starts as runs. The caller sends the commands.
 /// \p wallNow decides which occurrences of scheduled jobs are due.
 std::vector<StartAction> planStarts(PoolState& state, TimePoint now, WallTime wallNow);
 
@@ -20,8 +20,8 @@
 /// Load of the pool, as reported to the machine coordinator.
 PoolLoad loadOf(const PoolState& state, TimePoint now);
 
-/// An order that sets the share of its CPU that a task may use.
-struct CpuLimitAction {
+/// A command that sets the share of its CPU that a task may use.
+struct ThrottleAction {
     std::string vm;
     TaskId task;
     std::uint32_t run = 0;
@@ -30,6 +30,6 @@
 
 /// Lowers the CPU limit of the filler tasks on a VM while a task beside them approaches or exceeds its
 /// latency target, and raises it again once there is room.
-std::vector<CpuLimitAction> planPaces(PoolState& state, std::string_view vm, TimePoint now);
+std::vector<ThrottleAction> planPaces(PoolState& state, std::string_view vm, TimePoint now);
 
 } // namespace damask::fleet
--- a/src/include/damaskworks/pool_state.h
+++ b/src/include/damaskworks/pool_state.h
@@ -1,6 +1,6 @@
 /// \file
 /// State of one pool as kept by its holder, the node that has the pool's lease: jobs, VMs and the runs of
-/// tasks on VMs. Free functions apply reports and responses to the state and plan orders to VMs; nothing
+/// tasks on VMs. Free functions apply reports and responses to the state and plan commands to VMs; nothing
 /// here does I/O.
 #pragma once
 
@@ -20,21 +20,21 @@
 
 /// Phase of a run, as far as the holder knows.
 enum class RunPhase {
-    Starting, ///< the start order was sent or is about to be, with no response yet
+    Starting, ///< the start command was sent or is about to be, with no response yet
     Running,
-    Stopping, ///< a stop was ordered; the VM has not listed the end yet
-    Unknown, ///< the start order got no response; the VM may still carry it out
+    Stopping, ///< to be stopped or being stopped; the VM has not listed the end yet
+    Unknown, ///< the start command got no response; the VM may still carry it out
 };
 
-/// A run of a task on a VM. It reserves resources from the start order until its end is known.
+/// A run of a task on a VM. It reserves resources from the start command until its end is known.
 struct RunState {
     std::string vm;
     std::uint32_t number = 0;
     RunPhase phase = RunPhase::Starting;
-    TimePoint orderedAt {};
+    TimePoint createdAt {}; ///< when this holder planned or adopted the run
     TimePoint confirmedAt {}; ///< when the VM first confirmed the run; zero: not yet
     TimePoint stopConfirmedAt {}; ///< when the VM confirmed a stop; zero: not yet
-    TimePoint nextStopAt {}; ///< when an unconfirmed stop order is sent again
+    TimePoint nextStopAt {}; ///< when an unconfirmed stop command is sent again
     int percent = 0; ///< reported progress, see RunReport
     TimePoint progressAt {}; ///< last change of percent
     std::int64_t reportedLoad = 0; ///< see RunReport::load
@@ -89,7 +89,7 @@
     int nextOccurrence = 0; ///< first occurrence that is not due yet
     std::map<int, OccurrenceState> occurrences;
     milliseconds criticalPath { 0 }; ///< see criticalPathLength()
-    TimePoint firstStart {}; ///< first start order of this holder; zero: none yet
+    TimePoint firstStart {}; ///< first start command of this holder; zero: none yet
 };
 
 /// A VM of the pool.
@@ -104,10 +104,10 @@
     std::int64_t born = 0; ///< boot time, see VmReport; differs after a reboot
     milliseconds reportedClock { 0 }; ///< the VM's clock in its last report
     TimePoint clockReportedAt {}; ///< when that report arrived, on this node's clock
-    milliseconds leaseUntil { 0 }; ///< latest lease end sent in any order, on the VM's clock
+    milliseconds leaseUntil { 0 }; ///< latest lease end sent in any command, on the VM's clock
     Resources used; ///< reserved by all runs that are not known to have ended
     std::set<TaskId> runs;
-    /// Runs that this holder neither ordered nor adopted, with the time of the next stop order.
+    /// Runs that this holder neither started nor adopted, with the time of the next stop command.
     std::map<std::pair<TaskId, std::uint32_t>, TimePoint> strangers;
     std::uint64_t applied = 0; ///< ends up to this number are applied to the state
     std::uint64_t acknowledged = 0; ///< ends up to this number are durable
@@ -120,7 +120,8 @@
 
 /// Limits of a pool's holder.
 struct PoolLimits {
-    milliseconds maxHoldWait { 1000 }; ///< how long a VM may delay its response to a hold until a run ends
+    /// How long a VM may delay its response to a heartbeat until a run ends.
+    milliseconds maxHeartbeatWait { 1000 };
     /// Lease of the tasks on a VM. It is longer than a change of holder takes: 2 s until the old holder's
     /// lease expires, then one load of its records.
     milliseconds vmLease { 4500 };
@@ -164,14 +165,14 @@
     std::optional<std::set<std::string>> knownVms;
 };
 
-/// An order to stop a run.
+/// A command to stop a run.
 struct StopAction {
     std::string vm;
     TaskId task;
     std::uint32_t run = 0;
 };
 
-/// An order to start a run.
+/// A command to start a run.
 struct StartAction {
     std::string vm;
     StartOrder order;
@@ -196,25 +197,25 @@
     PoolState& state, std::string_view vm, const VmReport& report, TimePoint sentAt, TimePoint now);
 /// Marks a VM whose last call got no response.
 void applySilence(PoolState& state, std::string_view vm);
-/// Applies the outcome of a start order.
+/// Applies the outcome of a start command.
 void applyStartOutcome(PoolState& state, std::string_view vm, const TaskId& task, std::uint32_t run,
     OrderOutcome outcome, TimePoint now);
-/// Applies the outcome of a stop order.
+/// Applies the outcome of a stop command.
 void applyStopOutcome(PoolState& state, std::string_view vm, const TaskId& task, std::uint32_t run,
     OrderOutcome outcome, TimePoint now);
 /// Releases the runs of unresponsive VMs whose lease has expired, and removes unlisted VMs without runs.
 void expireLeases(PoolState& state, TimePoint now);
-/// Stop orders that are due: for runs of ended jobs, orphan runs, stalled tasks and unconfirmed starts.
+/// Stop commands that are due: for runs of ended jobs, orphan runs, stalled tasks and unconfirmed starts.
 std::vector<StopAction> planStops(PoolState& state, TimePoint now);
 /// Marks a run to be stopped by the next planStops().
 void markStopping(RunState& run, TimePoint now);
 
-/// Lease end to send in an order, on the VM's clock. Raises VmState::leaseUntil.
+/// Lease end to send in a command, on the VM's clock. Raises VmState::leaseUntil.
 milliseconds extendLease(VmState& vm, const PoolLimits& limits, TimePoint now);
 /// Whether the lease of every run on the VM has expired, even if the VM's clock is at its slowest.
 bool isLeaseExpired(const VmState& vm, const PoolLimits& limits, TimePoint now);
 
-/// The next hold for the VM, which asks for its report. Renews the lease of its runs if the VM responds.
+/// The next heartbeat for the VM, which asks for its report. Renews the lease of its runs if the VM responds.
 HoldOrder planHold(VmState& vm, const PoolLimits& limits, TimePoint now);
 
 /// Durable record of a job's state and of the progress of its tasks.
--- a/src/include/damaskworks/start_gate.h
+++ b/src/include/damaskworks/start_gate.h
@@ -12,12 +12,12 @@
 
 /// Planned starts that are held back, by job. Their resources stay reserved.
 ///
-/// Because a job's record is durable before its first start order, the next holder of the pool may start a
+/// Because a job's record is durable before its first start command, the next holder of the pool may start a
 /// job without a record at once. Otherwise it would have to wait until no VM can still run a task that the
 /// earlier holder started.
 using WaitingStarts = std::map<std::string, std::vector<StartAction>, std::less<>>;
 
-/// Adds \p planned to \p waiting, then removes and returns the starts that may be ordered now. Drops starts
+/// Adds \p planned to \p waiting, then removes and returns the starts that may be sent now. Drops starts
 /// whose run was released or stopped in the meantime.
 std::vector<StartAction> passGate(
     PoolState& state, WaitingStarts& waiting, std::vector<StartAction> planned, TimePoint now);
--- a/src/libscheduler/fleet_plan_test.cpp
+++ b/src/libscheduler/fleet_plan_test.cpp
@@ -1,4 +1,5 @@
-/// Which machines go into maintenance, and which change their pool.
+/// \file
+/// Tests of the planning of machine maintenance and of moves between pools.
 #include <damaskworks/fleet_plan.h>
 
 #include <boost/test/unit_test.hpp>
@@ -9,7 +10,7 @@
 
 namespace {
 
-/// Two pools of four machines with four cores each, and two machines that are off.
+/// Two pools of four machines with four cores each, and a standby pool of two machines.
 struct FleetFixture {
     FleetState state;
     FleetLimits limits;
@@ -35,13 +36,13 @@
         state.machines[id] = { id, pool, MachineState::Up, "vm-" + id };
     }
 
-    void wave(std::vector<std::string> machines, int maxDown, milliseconds duration = 24s)
+    void addWave(std::vector<std::string> machines, int maxDown, milliseconds duration = 24s)
     {
         state.waves[1] = { { 1, std::move(machines), duration, maxDown }, clock.now(), {} };
     }
 
-    /// The pool has a backlog that needs \p cores for a second.
-    void backlog(const std::string& pool, int cores)
+    /// Fills the pool and gives it a backlog that needs \p cores for a second.
+    void setBacklog(const std::string& pool, int cores)
     {
         auto& load = state.loads[pool];
         load.usedCpu = load.capacityCpu;
@@ -58,9 +59,9 @@
 
 BOOST_FIXTURE_TEST_SUITE(fleet_plan, FleetFixture)
 
-BOOST_AUTO_TEST_CASE(waveKeepsToItsLimitAndStartsWithMachinesThatAreOff)
+BOOST_AUTO_TEST_CASE(waveRespectsMaxDownAndStartsWithStandbyMachines)
 {
-    wave({ "a0", "a1", "b0", "s0", "s1" }, 3, 11s);
+    addWave({ "a0", "a1", "b0", "s0", "s1" }, 3, 11s);
     const auto tasks = planMaintenance(state, limits, clock.now());
     BOOST_REQUIRE(tasks.size() == 3u);
     BOOST_TEST(tasks[0].machine == "s0");
@@ -70,33 +71,33 @@
     BOOST_TEST(planMaintenance(state, limits, clock.now()).empty());
 }
 
-BOOST_AUTO_TEST_CASE(waveTakesNoMoreMachinesAtOnceThanItNeedsToBeInTime)
+BOOST_AUTO_TEST_CASE(waveUsesFewestConcurrentMachinesThatMeetItsDeadline)
 {
-    // Five machines of 6 s each in 19 s: two at a time.
-    wave({ "a0", "a1", "b0", "s0", "s1" }, 5);
+    // Five machines of 6 s each in 19 s need two at a time.
+    addWave({ "a0", "a1", "b0", "s0", "s1" }, 5);
     BOOST_TEST(planMaintenance(state, limits, clock.now()).size() == 2u);
     clock.advance(18s);
     BOOST_TEST(planMaintenance(state, limits, clock.now()).size() >= 4u);
 }
 
-BOOST_AUTO_TEST_CASE(poolGivesUpOnlyAPartOfItsMachinesAtOnce)
+BOOST_AUTO_TEST_CASE(poolGivesUpOnlyItsUnavailableShare)
 {
-    wave({ "a0", "a1", "a2", "a3" }, 4);
+    addWave({ "a0", "a1", "a2", "a3" }, 4);
     BOOST_TEST(planMaintenance(state, limits, clock.now()).size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(poolWithABacklogIsSparedUntilTimeIsShort)
+BOOST_AUTO_TEST_CASE(poolWithBacklogIsSkippedUntilWaveIsUrgent)
 {
-    wave({ "a0" }, 4);
-    backlog("a", 20);
+    addWave({ "a0" }, 4);
+    setBacklog("a", 20);
     BOOST_TEST(planMaintenance(state, limits, clock.now()).empty());
     clock.advance(20s);
     BOOST_TEST(planMaintenance(state, limits, clock.now()).size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(maintenanceIsOrderedOnlyOnceTheMachineIsEmpty)
+BOOST_AUTO_TEST_CASE(maintenanceIsOrderedOnlyAfterDrain)
 {
-    wave({ "a0" }, 4);
+    addWave({ "a0" }, 4);
     const auto tasks = planMaintenance(state, limits, clock.now());
     BOOST_REQUIRE(tasks.size() == 1u);
     BOOST_TEST(!mayOrder(state, tasks[0]));
@@ -106,18 +107,18 @@
     BOOST_TEST(mayOrder(state, task));
 }
 
-BOOST_AUTO_TEST_CASE(emptyingForAnEarlierTaskDoesNotCount)
+BOOST_AUTO_TEST_CASE(drainForAnEarlierTaskDoesNotCount)
 {
-    // On a played day the table was away for 4 s. Until the pool's holder could write again, its row still
-    // called a machine empty that had come back and worked; maintenance was ordered and ended a long-running
-    // task.
+    // Guards against trusting a stale row. When the table was unavailable for 4 s in a simulated day, the
+    // holder's row still listed a machine as drained that had returned and ran tasks again. Maintenance was
+    // ordered and ended a long-running task.
     MachineTask task { "a0", MachineAction::Maintain, 1, "", "vm-a0" };
     task.id = "7.2";
     state.loads["a"].empty.emplace("a0", "7.1");
     BOOST_TEST(!mayOrder(state, task));
 }
 
-BOOST_AUTO_TEST_CASE(machineIsBackOnlyWithAnotherVm)
+BOOST_AUTO_TEST_CASE(machineHasReturnedOnlyWithANewVm)
 {
     MachineTask task { "a0", MachineAction::Maintain, 1, "", "vm-a0", MachineTaskState::Ordered };
     BOOST_TEST(!isBack(state, task));
@@ -127,9 +128,9 @@
     BOOST_TEST(!isBack(state, task));
 }
 
-BOOST_AUTO_TEST_CASE(taskOfAMachineThatHasCrashedIsGivenUp)
+BOOST_AUTO_TEST_CASE(taskOfACrashedMachineIsAbandoned)
 {
-    // Such a machine would count as on its way to its pool for ever.
+    // Otherwise the machine would count for its target pool for ever.
     const MachineTask task { "a0", MachineAction::Move, 0, "b", "vm-a0", MachineTaskState::Emptying };
     BOOST_TEST(!isAbandoned(state, task));
     auto ordered = task;
@@ -139,23 +140,23 @@
     state.machines["a0"].state = MachineState::Down;
     BOOST_TEST(isAbandoned(state, task));
     BOOST_TEST(isAbandoned(state, ordered));
-    // It was started again before it was emptied.
+    // The machine came up again with another VM before it was drained.
     state.machines["a0"] = { "a0", "a", MachineState::Up, "vm-other" };
     BOOST_TEST(isAbandoned(state, task));
     BOOST_TEST(!isAbandoned(state, ordered));
 }
 
-BOOST_AUTO_TEST_CASE(waveIsCompleteOnlyWhenEveryMachineThatStaysIsDone)
+BOOST_AUTO_TEST_CASE(waveIsCompleteOnlyWhenEveryRemainingMachineIsDone)
 {
-    wave({ "a0", "gone" }, 4);
+    addWave({ "a0", "gone" }, 4);
     BOOST_TEST(!isComplete(state, state.waves[1]));
     state.waves[1].done.insert("a0");
     BOOST_TEST(isComplete(state, state.waves[1]));
 }
 
-BOOST_AUTO_TEST_CASE(poolWithABacklogGetsMachinesThatAreOffThenIdleOnes)
+BOOST_AUTO_TEST_CASE(poolWithBacklogGetsStandbyThenIdleMachines)
 {
-    backlog("a", 20);
+    setBacklog("a", 20);
     const auto moves = planMoves(state, limits, clock.now());
     BOOST_REQUIRE(moves.size() >= 4u);
     BOOST_TEST(moves[0].machine == "s0");
@@ -163,13 +164,13 @@
     BOOST_TEST(state.machines[moves[2].machine].pool == "b");
     for (const auto& move : moves)
         BOOST_TEST(move.toPool == "a");
-    // The other pool keeps a reserve for its next jobs.
+    // The other pool keeps its idle machine for its next jobs.
     BOOST_TEST(moves.size() == 5u);
 }
 
-BOOST_AUTO_TEST_CASE(poolGetsMachinesForWorkThatArrivesFasterThanItsRoom)
+BOOST_AUTO_TEST_CASE(poolGetsMachinesWhenArrivingWorkExceedsItsCapacity)
 {
-    // A turn of demand begins: nothing waits yet, but twice the pool's processors are asked for.
+    // Demand starts to rise: nothing waits yet, but the arriving work needs twice the pool's CPU.
     auto& load = state.loads["a"];
     load.arrivingCpu = 2 * load.capacityCpu;
     BOOST_TEST(planMoves(state, limits, clock.now()).size() == 5u);
@@ -177,7 +178,7 @@
     BOOST_TEST(planMoves(state, limits, clock.now()).empty());
 }
 
-BOOST_AUTO_TEST_CASE(largeTaskThatFitsBesideNothingGetsAnEmptyMachine)
+BOOST_AUTO_TEST_CASE(taskThatFitsOnNoMachineGetsAnotherOne)
 {
     // Half of each machine is free, but the task needs three quarters of one.
     auto& load = state.loads["a"];
@@ -192,27 +193,28 @@
     BOOST_TEST(planMoves(state, limits, clock.now()).size() == 2u);
 }
 
-BOOST_AUTO_TEST_CASE(poolPastItsPeakGivesUpMachinesThatStillWork)
+BOOST_AUTO_TEST_CASE(poolWithSurplusGivesUpBusyMachines)
 {
-    // A quarter of each machine of b is used, so that none is idle; b0 has a long-running task.
+    // A quarter of each machine of b is in use, so that none is idle; b0 runs a long-running task.
     auto& load = state.loads["b"];
     load.usedCpu = 4'000;
     for (const char* id : { "b0", "b1", "b2", "b3" })
         load.runs[id] = 1;
     load.serving = { "b0" };
-    backlog("a", 20);
+    setBacklog("a", 20);
     const auto moves = planMoves(state, limits, clock.now());
     BOOST_REQUIRE(moves.size() == 3u);
     BOOST_TEST(state.machines[moves[2].machine].pool == "b");
     BOOST_TEST(moves[2].machine != "b0");
-    // What works there is finished first.
+    // The tasks on the machine finish first.
     BOOST_TEST(!mayOrder(state, moves[2]));
 }
 
-BOOST_AUTO_TEST_CASE(poolWhoseMachinesAreAllGoneGetsOthers)
+BOOST_AUTO_TEST_CASE(poolThatLostAllMachinesGetsOthers)
 {
-    // On a played day a pool lost its last machines and got none for the rest of the day.
-    backlog("a", 8);
+    // Guards against a fault seen in a simulated day: a pool lost its last machines and got none for the rest
+    // of the day.
+    setBacklog("a", 8);
     auto& load = state.loads["a"];
     load.usedCpu = load.capacityCpu = 0;
     load.workingMachines = 0;
@@ -228,7 +230,7 @@
     BOOST_TEST(planMoves(state, limits, clock.now()).empty());
 }
 
-BOOST_AUTO_TEST_CASE(poolWhoseHolderHasNotReadItsMachinesKeepsThem)
+BOOST_AUTO_TEST_CASE(poolKeepsMachinesThatHaveNotReported)
 {
     auto& load = state.loads["a"];
     load.workingMachines = 0;
@@ -238,9 +240,9 @@
     BOOST_TEST(planMoves(state, limits, clock.now()).empty());
 }
 
-BOOST_AUTO_TEST_CASE(machinesThatAreDownDoNotCountForTheirPool)
+BOOST_AUTO_TEST_CASE(downMachinesDoNotCountForTheirPool)
 {
-    backlog("a", 1);
+    setBacklog("a", 1);
     state.loads["a"].capacityCpu = state.loads["a"].usedCpu = 8'000;
     state.loads["a"].workingMachines = 2;
     const auto before = planMoves(state, limits, clock.now()).size();
@@ -249,17 +251,17 @@
     BOOST_TEST(planMoves(state, limits, clock.now()).size() == before + 2);
 }
 
-BOOST_AUTO_TEST_CASE(machinesOnTheirWayCountAsThere)
+BOOST_AUTO_TEST_CASE(movingMachinesCountForTheirTargetPool)
 {
-    backlog("a", 4);
+    setBacklog("a", 4);
     for (const auto& move : planMoves(state, limits, clock.now()))
         state.tasks.emplace(move.machine, move);
     BOOST_TEST(planMoves(state, limits, clock.now()).empty());
 }
 
-BOOST_AUTO_TEST_CASE(machineThatHasJustComeStays)
+BOOST_AUTO_TEST_CASE(recentlyMovedMachineStays)
 {
-    backlog("a", 20);
+    setBacklog("a", 20);
     for (const char* id : { "b0", "b1", "b2", "b3", "s0", "s1" })
         state.movedAt[id] = clock.now();
     BOOST_TEST(planMoves(state, limits, clock.now()).empty());
@@ -267,9 +269,9 @@
     BOOST_TEST(!planMoves(state, limits, clock.now()).empty());
 }
 
-BOOST_AUTO_TEST_CASE(rowsAreReadAsTheyWereWritten)
+BOOST_AUTO_TEST_CASE(loadAndTaskRowsRoundTrip)
 {
-    backlog("a", 20);
+    setBacklog("a", 20);
     state.loads["a"].empty.emplace("a1", "7.1");
     BOOST_TEST((decodeLoad(encodeLoad(state.loads["a"])) == state.loads["a"]));
     const MachineTask task { "a0", MachineAction::Move, 0, "b", "vm-a0", MachineTaskState::Ordered, "7.1" };
--- a/src/libscheduler/job_timing_test.cpp
+++ b/src/libscheduler/job_timing_test.cpp
@@ -1,4 +1,5 @@
-/// How ends of jobs stand against their objectives.
+/// \file
+/// Tests of the completion-time objectives of jobs.
 #include "pool_fixture_test.h"
 
 #include <damaskworks/job_timing.h>
@@ -10,11 +11,11 @@
 
 BOOST_FIXTURE_TEST_SUITE(job_timing, PoolFixture)
 
-BOOST_AUTO_TEST_CASE(objectiveIsTheStretchedChainAndTheTarget)
+BOOST_AUTO_TEST_CASE(objectiveIsStretchedCriticalPathPlusLatencyTarget)
 {
-    auto second = step(3);
+    auto second = makeStep(3);
     second.after = { 0 };
-    submit("j1", { step(2), second });
+    submit("j1", { makeStep(2), second });
     const auto& entry = state.jobs.at("j1");
     const auto objective = objectiveSpan(entry, &state.queues.at("quotes"));
     BOOST_TEST(objective.count() == 1600 * 2 + 600);
@@ -24,19 +25,19 @@
     BOOST_TEST((timelinessOf(objective * 3 + 1ms, objective) == Timeliness::Overdue));
 }
 
-BOOST_AUTO_TEST_CASE(jobsThatLastOrRepeatHaveNoSingleObjective)
+BOOST_AUTO_TEST_CASE(longRunningAndScheduledJobsHaveNoSingleObjective)
 {
-    auto serving = step(1);
+    auto serving = makeStep(1);
     serving.longRunning = true;
-    BOOST_TEST(hasOneObjective(job("j1", { step(1) })));
-    BOOST_TEST(!hasOneObjective(job("j2", { step(1), serving })));
-    auto repeated = job("j3", { step(1) });
+    BOOST_TEST(hasOneObjective(makeJob("j1", { makeStep(1) })));
+    BOOST_TEST(!hasOneObjective(makeJob("j2", { makeStep(1), serving })));
+    auto repeated = makeJob("j3", { makeStep(1) });
     repeated.occurrences = 2;
-    repeated.firstDue = wall;
+    repeated.firstDue = wallNow;
     repeated.period = 500ms;
     BOOST_TEST(!hasOneObjective(repeated));
     addJob(state, repeated, "", false);
-    BOOST_TEST((dueAt(state.jobs.at("j3"), 1) == wall + 500ms));
+    BOOST_TEST((dueAt(state.jobs.at("j3"), 1) == wallNow + 500ms));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/libscheduler/placement_choice.cpp
+++ b/src/libscheduler/placement_choice.cpp
@@ -40,7 +40,7 @@
     return count;
 }
 
-/// Remaining validity that a ticket needs, so that the order arrives before it expires.
+/// Remaining validity that a ticket needs, so that the command arrives before it expires.
 constexpr milliseconds ticketSafetyMargin { 100 };
 
 bool hasTicket(const StepAdvice& advice, const VmState& vm, TimePoint now)
--- a/src/libscheduler/pool_fixture_test.h
+++ b/src/libscheduler/pool_fixture_test.h
@@ -1,5 +1,5 @@
 /// \file
-/// A pool with VMs and jobs for tests.
+/// Fixture with the state of one pool for tests.
 #pragma once
 
 #include <damaskworks/pool_plan.h>
@@ -10,11 +10,11 @@
 
 namespace damask::fleet {
 
-/// Pool "pricing" with queue "quotes"; time starts at an hour and moves by hand.
+/// Pool "pricing" with queue "quotes". Time starts at one hour and moves only by advance().
 struct PoolFixture {
     PoolState state;
     ManualClock clock;
-    WallTime wall { 1'000'000 };
+    WallTime wallNow { 1'000'000 };
 
     PoolFixture()
     {
@@ -29,7 +29,7 @@
     }
 
     void addVm(
-        const std::string& id, std::int64_t cpu = 4000, const std::string& rack = "r1", bool read = true)
+        const std::string& id, std::int64_t cpu = 4000, const std::string& rack = "r1", bool reports = true)
     {
         VmEntry vm;
         vm.id = id;
@@ -39,11 +39,11 @@
         vm.rack = rack;
         vm.labels = { "a", rack };
         listVm(state, vm);
-        if (read)
+        if (reports)
             report(id);
     }
 
-    static StepSpec step(int count, std::int64_t cpu = 1000)
+    static StepSpec makeStep(int count, std::int64_t cpu = 1000)
     {
         StepSpec out;
         out.count = count;
@@ -52,7 +52,7 @@
         return out;
     }
 
-    JobSpec job(const std::string& id, std::vector<StepSpec> steps) const
+    JobSpec makeJob(const std::string& id, std::vector<StepSpec> steps) const
     {
         JobSpec out;
         out.id = id;
@@ -60,29 +60,29 @@
         out.pool = "pricing";
         out.spec = "work";
         out.steps = std::move(steps);
-        out.acceptedAt = wall;
+        out.acceptedAt = wallNow;
         return out;
     }
 
-    /// A recovered job has a record, as every job that an earlier holder has begun.
+    /// Adds a job. A recovered job gets a record, since an earlier holder has started it.
     void submit(
         const std::string& id, std::vector<StepSpec> steps, bool recovered = false, std::string progress = "")
     {
         if (recovered && progress.empty())
             progress = "{\"state\":\"running\"}";
-        addJob(state, job(id, std::move(steps)), progress, recovered);
+        addJob(state, makeJob(id, std::move(steps)), progress, recovered);
     }
 
     void advance(milliseconds span)
     {
         clock.advance(span);
-        wall += span;
+        wallNow += span;
     }
 
-    std::vector<StartAction> starts() { return planStarts(state, clock.now(), wall); }
+    std::vector<StartAction> starts() { return planStarts(state, clock.now(), wallNow); }
 
-    /// Starts what can start, and has every start accepted.
-    std::vector<StartAction> run()
+    /// Starts all tasks that can start, and lets the VMs accept every start.
+    std::vector<StartAction> startAndAccept()
     {
         auto out = starts();
         for (const auto& start : out)
@@ -91,7 +91,8 @@
         return out;
     }
 
-    /// What the VM runs by the pool's own books, with \p ended besides.
+    /// Applies a report of the runs that the state has on the VM, without those in \p ended, which it lists
+    /// as ends.
     void report(const std::string& vm, std::vector<EndReport> ended = {}, std::int64_t born = 1)
     {
         VmReport out;
@@ -108,6 +109,7 @@
         applyReport(state, vm, out, clock.now(), clock.now());
     }
 
+    /// Applies a report without any runs or ends.
     void reportEmpty(const std::string& vm, std::int64_t born = 1)
     {
         VmReport out;
@@ -116,7 +118,7 @@
         applyReport(state, vm, out, clock.now(), clock.now());
     }
 
-    static EndReport end(std::uint64_t number, const StartAction& start, EndKind kind = EndKind::Done)
+    static EndReport makeEnd(std::uint64_t number, const StartAction& start, EndKind kind = EndKind::Done)
     {
         return { number, start.order.task, start.order.run, kind, "" };
     }
--- a/src/libscheduler/pool_pace.cpp
+++ b/src/libscheduler/pool_pace.cpp
@@ -32,9 +32,9 @@
 
 } // namespace
 
-std::vector<CpuLimitAction> planPaces(PoolState& state, std::string_view vmId, TimePoint)
+std::vector<ThrottleAction> planPaces(PoolState& state, std::string_view vmId, TimePoint)
 {
-    std::vector<CpuLimitAction> out;
+    std::vector<ThrottleAction> out;
     auto found = state.vms.find(vmId);
     if (found == state.vms.end())
         return out;
--- a/src/libscheduler/pool_plan.cpp
+++ b/src/libscheduler/pool_plan.cpp
@@ -112,12 +112,12 @@
     std::uint32_t number, const std::string& checkpoint, TimePoint now)
 {
     RunState run { vm.entry.id, number };
-    run.orderedAt = now;
+    run.createdAt = now;
     placeRun(state, vm, id, task, run);
     if (job.firstStart == TimePoint {})
         job.firstStart = now;
     if (!job.begun)
-        job.dirty = true; // its record must be durable before the order is sent
+        job.dirty = true; // its record must be durable before the command is sent
     const auto& tickets
         = job.occurrences.at(id.occurrence).steps[static_cast<std::size_t>(id.step)].advice.tickets;
     const auto ticket = tickets.find(vm.entry.id);
--- a/src/libscheduler/pool_reports.cpp
+++ b/src/libscheduler/pool_reports.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Applies reports of VMs and outcomes of orders to the state of a pool, and plans stop orders.
+/// Applies reports of VMs and outcomes of commands to the state of a pool, and plans stop commands.
 #include "pool_state_pvt.h"
 #include "progress_pvt.h"
 
@@ -40,7 +40,7 @@
         = limits.failuresBeforeQuarantine - 1; // one failure after the quarantine starts the next
 }
 
-/// Marks a job as running. A VM must have confirmed one of its tasks: a start order alone may be refused or
+/// Marks a job as running. A VM must have confirmed one of its tasks: a start command alone may be refused or
 /// lost.
 void markJobRunning(JobEntry& job)
 {
@@ -150,7 +150,7 @@
     run.reportedLoad = report.load;
 }
 
-/// Handles a run that this holder did not order. Adopts it if its job was recovered and its task has no run,
+/// Handles a run that this holder did not start. Adopts it if its job was recovered and its task has no run,
 /// else records it as an orphan run to be stopped.
 void adoptRun(PoolState& state, VmState& vm, const RunReport& report, TimePoint now)
 {
@@ -163,7 +163,7 @@
         return;
     }
     RunState run { vm.entry.id, report.run };
-    run.orderedAt = now;
+    run.createdAt = now;
     placeRun(state, vm, report.task, *task, run);
     confirmRun(*task->run, report, now);
     markJobRunning(job->second);
@@ -182,7 +182,7 @@
 }
 
 /// Releases runs that the VM does not list any more. Before it was asked, it must have confirmed the run, or
-/// its stop, after which a delayed start order can no longer take effect.
+/// its stop, after which a delayed start command can no longer take effect.
 void releaseMissing(PoolState& state, VmState& vm, const std::set<TaskId>& listed, TimePoint sentAt)
 {
     const auto runs = vm.runs;
--- a/src/libscheduler/pool_state.cpp
+++ b/src/libscheduler/pool_state.cpp
@@ -197,7 +197,7 @@
         return order;
     order.leaseUntil = extendLease(vm, limits, now);
     if (vm.strangers.empty())
-        order.wait = limits.maxHoldWait;
+        order.wait = limits.maxHeartbeatWait;
     return order;
 }
 
--- a/src/libscheduler/pool_state_test.cpp
+++ b/src/libscheduler/pool_state_test.cpp
@@ -1,4 +1,5 @@
-/// Runs, their ends and their room as the pool's holder keeps them.
+/// \file
+/// Tests of how a pool's holder tracks runs, their ends and the resources that they reserve.
 #include "pool_fixture_test.h"
 
 #include <boost/test/unit_test.hpp>
@@ -9,49 +10,49 @@
 
 BOOST_FIXTURE_TEST_SUITE(pool_state, PoolFixture)
 
-BOOST_AUTO_TEST_CASE(stepWaitsForTheStepsBeforeIt)
+BOOST_AUTO_TEST_CASE(stepWaitsForItsDependencies)
 {
     addVm("v1");
-    auto second = step(1);
+    auto second = makeStep(1);
     second.after = { 0 };
-    submit("j1", { step(2), second });
-    const auto first = run();
+    submit("j1", { makeStep(2), second });
+    const auto first = startAndAccept();
     BOOST_REQUIRE(first.size() == 2u);
-    report("v1", { end(1, first[0]) });
-    BOOST_TEST(run().empty());
-    report("v1", { end(2, first[1]) });
-    const auto next = run();
+    report("v1", { makeEnd(1, first[0]) });
+    BOOST_TEST(startAndAccept().empty());
+    report("v1", { makeEnd(2, first[1]) });
+    const auto next = startAndAccept();
     BOOST_REQUIRE(next.size() == 1u);
     BOOST_TEST(next[0].order.task.step == 1);
-    report("v1", { end(3, next[0]) });
+    report("v1", { makeEnd(3, next[0]) });
     BOOST_TEST((state.jobs.at("j1").state == JobState::Completed));
 }
 
-BOOST_AUTO_TEST_CASE(roomIsTakenUntilTheEndIsListed)
+BOOST_AUTO_TEST_CASE(resourcesStayReservedUntilTheEndIsListed)
 {
     addVm("v1", 2000);
-    submit("j1", { step(3) });
-    const auto first = run();
+    submit("j1", { makeStep(3) });
+    const auto first = startAndAccept();
     BOOST_REQUIRE(first.size() == 2u);
     markStopping(*findTask(state, first[0].order.task)->run, clock.now());
     BOOST_TEST(planStops(state, clock.now()).size() == 1u);
-    BOOST_TEST(run().empty());
-    report("v1", { end(1, first[0], EndKind::Stopped) });
-    const auto next = run();
+    BOOST_TEST(startAndAccept().empty());
+    report("v1", { makeEnd(1, first[0], EndKind::Stopped) });
+    const auto next = startAndAccept();
     BOOST_REQUIRE(next.size() == 1u);
     BOOST_TEST(next[0].order.run == 2u);
 }
 
-BOOST_AUTO_TEST_CASE(unansweredStartIsVoidOnlyAfterAnAnsweredStop)
+BOOST_AUTO_TEST_CASE(unconfirmedStartIsReleasedOnlyAfterAConfirmedStop)
 {
     addVm("v1", 1000);
-    submit("j1", { step(1) });
+    submit("j1", { makeStep(1) });
     const auto first = starts();
     BOOST_REQUIRE(first.size() == 1u);
     applyStartOutcome(
         state, "v1", first[0].order.task, first[0].order.run, OrderOutcome::Unknown, clock.now());
     advance(10ms);
-    // The order may still be carried out, so a list without the run proves nothing.
+    // The VM may still carry out the command, so a report without the run proves nothing.
     reportEmpty("v1");
     BOOST_TEST(starts().empty());
     const auto stops = planStops(state, clock.now());
@@ -64,12 +65,12 @@
     BOOST_TEST(next[0].order.run == 2u);
 }
 
-BOOST_AUTO_TEST_CASE(silentVmKeepsItsTasksUntilItsSlowestClockHasPassedTheLease)
+BOOST_AUTO_TEST_CASE(unresponsiveVmKeepsTasksUntilLeaseExpiresOnSlowestClock)
 {
     addVm("v1");
     addVm("v2");
-    submit("j1", { step(1) });
-    const auto first = run();
+    submit("j1", { makeStep(1) });
+    const auto first = startAndAccept();
     const auto vm = first[0].vm;
     applySilence(state, vm);
     advance(state.limits.vmLease);
@@ -82,11 +83,11 @@
     BOOST_TEST(next[0].vm != vm);
 }
 
-BOOST_AUTO_TEST_CASE(silentVmIsAskedAgainWithoutMoreTimeForItsTasks)
+BOOST_AUTO_TEST_CASE(unresponsiveVmIsPolledWithoutLeaseRenewal)
 {
     addVm("v1");
-    submit("j1", { step(1) });
-    run();
+    submit("j1", { makeStep(1) });
+    startAndAccept();
     BOOST_TEST(planHold(state.vms.at("v1"), state.limits, clock.now()).leaseUntil.count() > 0);
     applySilence(state, "v1");
     for (int i = 0; i < 30; ++i) {
@@ -97,62 +98,62 @@
     BOOST_TEST(!task("j1", 0, 0).run);
 }
 
-BOOST_AUTO_TEST_CASE(lateEndOfAGivenUpRunDoesNotCountBesideANewOne)
+BOOST_AUTO_TEST_CASE(lateEndOfAReleasedRunIsIgnoredBesideANewRun)
 {
     addVm("v1");
     addVm("v2");
-    submit("j1", { step(1) });
-    const auto first = run();
+    submit("j1", { makeStep(1) });
+    const auto first = startAndAccept();
     applySilence(state, first[0].vm);
     advance(state.limits.vmLease * 2);
     expireLeases(state, clock.now());
-    const auto second = run();
+    const auto second = startAndAccept();
     BOOST_REQUIRE(second.size() == 1u);
-    report(first[0].vm, { end(1, first[0]) });
+    report(first[0].vm, { makeEnd(1, first[0]) });
     BOOST_TEST(!task("j1", 0, 0).done);
-    report(second[0].vm, { end(1, second[0]) });
+    report(second[0].vm, { makeEnd(1, second[0]) });
     BOOST_TEST(task("j1", 0, 0).done);
 }
 
-BOOST_AUTO_TEST_CASE(rebornVmRunsNothing)
+BOOST_AUTO_TEST_CASE(rebootedVmRunsNothing)
 {
     addVm("v1");
-    submit("j1", { step(1) });
-    run();
+    submit("j1", { makeStep(1) });
+    startAndAccept();
     advance(100ms);
     reportEmpty("v1", 2);
-    const auto next = run();
+    const auto next = startAndAccept();
     BOOST_REQUIRE(next.size() == 1u);
     BOOST_TEST(next[0].order.run == 2u);
     BOOST_TEST(state.vms.at("v1").applied == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(failedRunsAreCountedOnceThoughListedToTwoHolders)
+BOOST_AUTO_TEST_CASE(failedRunReportedToTwoHoldersCountsOnce)
 {
     addVm("v1");
-    submit("j1", { step(1) });
-    const auto first = run();
-    report("v1", { end(1, first[0], EndKind::Failed) });
+    submit("j1", { makeStep(1) });
+    const auto first = startAndAccept();
+    report("v1", { makeEnd(1, first[0], EndKind::Failed) });
     const auto record = encodeProgress(state.jobs.at("j1"));
     PoolFixture next;
     next.state.term = 1;
-    next.submit("j1", { step(1) }, true, record);
+    next.submit("j1", { makeStep(1) }, true, record);
     next.addVm("v1", 4000, "r1", false);
-    next.report("v1", { end(1, first[0], EndKind::Failed) });
+    next.report("v1", { makeEnd(1, first[0], EndKind::Failed) });
     BOOST_TEST(next.task("j1", 0, 0).failedRuns.size() == 1u);
     BOOST_TEST((next.state.jobs.at("j1").state != JobState::Failed));
-    const auto second = next.run();
+    const auto second = next.startAndAccept();
     BOOST_REQUIRE(second.size() == 1u);
     BOOST_TEST(second[0].order.run > first[0].order.run);
-    next.report("v1", { end(2, second[0], EndKind::Failed) });
+    next.report("v1", { makeEnd(2, second[0], EndKind::Failed) });
     BOOST_TEST((next.state.jobs.at("j1").state == JobState::Failed));
 }
 
-BOOST_AUTO_TEST_CASE(failedEndOfAnEarlierRunCountsBesideTheAdoptedOne)
+BOOST_AUTO_TEST_CASE(failureOfAnEarlierRunCountsBesideAnAdoptedRun)
 {
-    // The first run failed on v1 and the second runs on v2; the old holder wrote neither down.
+    // The first run failed on v1 and the second runs on v2; the earlier holder recorded neither.
     state.term = 1;
-    submit("j1", { step(1) }, true);
+    submit("j1", { makeStep(1) }, true);
     addVm("v1", 4000, "r1", false);
     addVm("v2", 4000, "r1", false);
     const TaskId id { "j1", 0, 0, 0 };
@@ -168,55 +169,55 @@
     BOOST_TEST(starts().empty());
 }
 
-BOOST_AUTO_TEST_CASE(newHolderStartsNothingOldBeforeItHasReadEveryVm)
+BOOST_AUTO_TEST_CASE(newHolderStartsRecoveredTasksOnlyAfterEveryVmReported)
 {
     state.term = 1;
     state.knownVms = { "v1", "v2", "v3" };
     state.uncertainUntil = clock.now() + 5s;
     addVm("v1");
     addVm("v2", 4000, "r1", false);
-    submit("j1", { step(1) }, true);
-    submit("j2", { step(1) });
-    auto out = run();
+    submit("j1", { makeStep(1) }, true);
+    submit("j2", { makeStep(1) });
+    auto out = startAndAccept();
     BOOST_REQUIRE(out.size() == 1u);
     BOOST_TEST(out[0].order.task.job == "j2");
     BOOST_TEST(out[0].order.run == 1u);
     report("v2");
-    // The registry misses a VM that the platform knows.
-    BOOST_TEST(run().empty());
+    // The registry lacks a VM that the platform lists.
+    BOOST_TEST(startAndAccept().empty());
     addVm("v3");
-    out = run();
+    out = startAndAccept();
     BOOST_REQUIRE(out.size() == 1u);
     BOOST_TEST(out[0].order.task.job == "j1");
     BOOST_TEST(out[0].order.run > runNumberBase(1));
 }
 
-BOOST_AUTO_TEST_CASE(registeredVmThatThePlatformDoesNotKnowHoldsNothingUp)
+BOOST_AUTO_TEST_CASE(vmUnknownToThePlatformDoesNotDelayRecovery)
 {
     state.term = 1;
     state.knownVms = { "v1" };
     state.uncertainUntil = clock.now() + 5s;
     addVm("v1");
     addVm("moved", 4000, "r1", false);
-    submit("j1", { step(1) }, true);
+    submit("j1", { makeStep(1) }, true);
     BOOST_TEST(starts().size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(loadTellsOfTasksThatFitOnNoVm)
+BOOST_AUTO_TEST_CASE(loadIncludesTasksThatFitOnNoVm)
 {
     addVm("v1", 4000);
-    auto serving = step(1, 2000);
+    auto serving = makeStep(1, 2000);
     serving.longRunning = true;
     submit("j1", { serving });
-    run();
-    submit("j2", { step(1, 3000) });
+    startAndAccept();
+    submit("j2", { makeStep(1, 3000) });
     BOOST_TEST(starts().empty());
     BOOST_TEST(loadOf(state, clock.now()).unfitCpu == 3000);
     addVm("v2", 4000);
     BOOST_TEST(loadOf(state, clock.now()).unfitCpu == 0);
 }
 
-BOOST_AUTO_TEST_CASE(unreadVmDoesNotCountAsIdle)
+BOOST_AUTO_TEST_CASE(vmWithoutReportDoesNotCountAsIdle)
 {
     addVm("v1", 4000, "r1", false);
     BOOST_TEST(loadOf(state, clock.now()).runs.contains("m-v1"));
@@ -224,10 +225,10 @@
     BOOST_TEST(!loadOf(state, clock.now()).runs.contains("m-v1"));
 }
 
-BOOST_AUTO_TEST_CASE(newHolderAdoptsWhatRuns)
+BOOST_AUTO_TEST_CASE(newHolderAdoptsRunningTasks)
 {
     state.term = 1;
-    submit("j1", { step(1) }, true);
+    submit("j1", { makeStep(1) }, true);
     addVm("v1", 4000, "r1", false);
     VmReport report;
     report.born = 1;
@@ -238,14 +239,14 @@
     BOOST_TEST((state.jobs.at("j1").state == JobState::Running));
 }
 
-BOOST_AUTO_TEST_CASE(runOfNoJobIsStoppedBeforeTheVmTakesWork)
+BOOST_AUTO_TEST_CASE(orphanRunIsStoppedBeforeTheVmGetsTasks)
 {
     addVm("v1");
     VmReport report;
     report.born = 1;
     report.running.push_back({ { "gone", 0, 0, 0 }, 3, "", 30, 0 });
     applyReport(state, "v1", report, clock.now(), clock.now());
-    submit("j1", { step(1) });
+    submit("j1", { makeStep(1) });
     BOOST_TEST(starts().empty());
     const auto stops = planStops(state, clock.now());
     BOOST_REQUIRE(stops.size() == 1u);
@@ -255,83 +256,83 @@
     BOOST_TEST(starts().size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(cancelledJobIsStoppedAndStartsNothing)
+BOOST_AUTO_TEST_CASE(runsOfACancelledJobAreStoppedAndNoneStarts)
 {
     addVm("v1", 1000);
-    submit("j1", { step(2) });
-    const auto first = run();
+    submit("j1", { makeStep(2) });
+    const auto first = startAndAccept();
     cancelJob(state, "j1");
     BOOST_TEST(planStops(state, clock.now()).size() == 1u);
-    report("v1", { end(1, first[0], EndKind::Stopped) });
+    report("v1", { makeEnd(1, first[0], EndKind::Stopped) });
     BOOST_TEST(starts().empty());
     BOOST_TEST((state.jobs.at("j1").state == JobState::Cancelled));
 }
 
-BOOST_AUTO_TEST_CASE(gangStartsWholeOrNotAtAll)
+BOOST_AUTO_TEST_CASE(gangStartsAllMembersOrNone)
 {
     addVm("v1", 1000);
-    auto gang = step(3);
+    auto gang = makeStep(3);
     gang.gang = true;
     submit("j1", { gang });
     BOOST_TEST(starts().empty());
     BOOST_TEST(state.vms.at("v1").used.cpu == 0);
     addVm("v2", 2000);
-    const auto all = run();
+    const auto all = startAndAccept();
     BOOST_REQUIRE(all.size() == 3u);
     BOOST_TEST(all[0].order.run == all[2].order.run);
-    report(all[1].vm, { end(1, all[1]) });
+    report(all[1].vm, { makeEnd(1, all[1]) });
     BOOST_TEST((state.jobs.at("j1").state == JobState::Completed));
 }
 
-BOOST_AUTO_TEST_CASE(longRunningTaskIsStartedAgainHoweverItEnds)
+BOOST_AUTO_TEST_CASE(longRunningTaskIsRestartedAfterAnyEnd)
 {
     addVm("v1");
-    auto serving = step(1);
+    auto serving = makeStep(1);
     serving.longRunning = true;
     submit("j1", { serving });
-    auto out = run();
+    auto out = startAndAccept();
     for (std::uint64_t number = 1; number <= 5; ++number) {
-        report("v1", { end(number, out[0], number % 2 ? EndKind::Failed : EndKind::Done) });
-        out = run();
+        report("v1", { makeEnd(number, out[0], number % 2 ? EndKind::Failed : EndKind::Done) });
+        out = startAndAccept();
         BOOST_REQUIRE(out.size() == 1u);
     }
     BOOST_TEST((state.jobs.at("j1").state == JobState::Running));
 }
 
-BOOST_AUTO_TEST_CASE(badJobAloneDoesNotSetAVmAside)
+BOOST_AUTO_TEST_CASE(failuresOfOneJobDoNotQuarantineAVm)
 {
     addVm("v1");
     state.queues.at("quotes").maxAttempts = 20;
-    submit("bad", { step(1) });
+    submit("bad", { makeStep(1) });
     std::uint64_t number = 0;
     for (int i = 0; i < 8; ++i) {
-        const auto out = run();
+        const auto out = startAndAccept();
         BOOST_REQUIRE(out.size() == 1u);
-        report("v1", { end(++number, out[0], EndKind::Failed) });
+        report("v1", { makeEnd(++number, out[0], EndKind::Failed) });
     }
-    submit("other", { step(4, 250) });
-    auto out = run();
+    submit("other", { makeStep(4, 250) });
+    auto out = startAndAccept();
     BOOST_REQUIRE(!out.empty());
     std::vector<EndReport> ends;
     for (const auto& start : out)
-        ends.push_back(end(++number, start, EndKind::Failed));
+        ends.push_back(makeEnd(++number, start, EndKind::Failed));
     report("v1", ends);
     BOOST_TEST(starts().empty());
     advance(state.limits.firstQuarantine);
     BOOST_TEST(!starts().empty());
 }
 
-BOOST_AUTO_TEST_CASE(evacuationMovesServingTasksWithinTheBudget)
+BOOST_AUTO_TEST_CASE(evacuationStopsLongRunningTasksWithinTheBudget)
 {
     addVm("v1", 1000);
     addVm("v2", 1000);
     addVm("v3", 4000);
-    auto serving = step(3);
+    auto serving = makeStep(3);
     serving.longRunning = true;
     serving.maxPerVm = 1;
     serving.maxUnavailable = 1;
     submit("j1", { serving });
-    const auto first = run();
+    const auto first = startAndAccept();
     BOOST_REQUIRE(first.size() == 3u);
     for (const auto& start : first)
         findTask(state, start.order.task)->run->percent = 100;
@@ -341,27 +342,28 @@
     BOOST_TEST(planStops(state, clock.now()).size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(jobOfARemovedQueueKeepsItsAttempts)
+BOOST_AUTO_TEST_CASE(jobOfARemovedQueueKeepsItsMaxAttempts)
 {
     addVm("v1");
-    auto spec = job("j1", { step(1) });
+    auto spec = makeJob("j1", { makeStep(1) });
     spec.maxAttempts = 2;
     addJob(state, spec, "", false);
     state.queues.clear();
-    const auto first = run();
-    report("v1", { end(1, first[0], EndKind::Failed) });
+    const auto first = startAndAccept();
+    report("v1", { makeEnd(1, first[0], EndKind::Failed) });
     BOOST_TEST((state.jobs.at("j1").state == JobState::Running));
-    const auto second = run();
+    const auto second = startAndAccept();
     BOOST_REQUIRE(second.size() == 1u);
-    report("v1", { end(2, second[0], EndKind::Failed) });
+    report("v1", { makeEnd(2, second[0], EndKind::Failed) });
     BOOST_TEST((state.jobs.at("j1").state == JobState::Failed));
 }
 
-BOOST_AUTO_TEST_CASE(jobWhoseOrdersCameToNothingStillWaits)
+BOOST_AUTO_TEST_CASE(jobStaysQueuedUntilAStartIsAccepted)
 {
-    // On a played day 5 of 7 waiting jobs were not counted: their VMs had not taken the orders.
+    // Guards against counting a job as running when its start command is sent. In a simulated day 5 of 7
+    // waiting jobs were not counted as queued, because their VMs had not accepted the commands.
     addVm("v1");
-    submit("j1", { step(1) });
+    submit("j1", { makeStep(1) });
     const auto first = starts();
     BOOST_REQUIRE(first.size() == 1u);
     BOOST_TEST((state.jobs.at("j1").state == JobState::Queued));
@@ -375,28 +377,29 @@
     BOOST_TEST((state.jobs.at("j1").state == JobState::Running));
 }
 
-BOOST_AUTO_TEST_CASE(machinesAreAskedForAheadOfARisingDemand)
+BOOST_AUTO_TEST_CASE(arrivalForecastAnticipatesRisingDemand)
 {
-    // A turn as played: 10 jobs a second more with each second.
+    // Demand as in a simulated day: the rate rises by 10 jobs per second each second.
     std::int64_t jobs = 0;
-    std::int64_t asked = 0;
+    std::int64_t forecast = 0;
     for (int ms = 0; ms < 4000; ms += 20) {
         advance(20ms);
         const auto due = 10 * ms * ms / 2'000'000;
         for (; jobs < due; ++jobs)
-            noteArrival(state, job("j" + std::to_string(jobs), { step(10) }), clock.now());
-        asked = loadOf(state, clock.now()).arrivingCpu;
+            noteArrival(state, makeJob("j" + std::to_string(jobs), { makeStep(10) }), clock.now());
+        forecast = loadOf(state, clock.now()).arrivingCpu;
     }
-    // 40 jobs a second now, 60 when a machine asked for now has come; each needs ten cores for a second.
-    BOOST_TEST(asked >= 400'000);
-    BOOST_TEST(asked <= 600'000);
-    // A steady rate is not taken for a rising one.
+    // The rate is 40 jobs per second now and 60 when a machine requested now has joined; each job needs ten
+    // cores for a second.
+    BOOST_TEST(forecast >= 400'000);
+    BOOST_TEST(forecast <= 600'000);
+    // A steady rate is not extrapolated.
     for (int ms = 0; ms < 2000; ms += 50) {
         advance(50ms);
-        noteArrival(state, job("k" + std::to_string(ms), { step(10) }), clock.now());
-        asked = loadOf(state, clock.now()).arrivingCpu;
+        noteArrival(state, makeJob("k" + std::to_string(ms), { makeStep(10) }), clock.now());
+        forecast = loadOf(state, clock.now()).arrivingCpu;
     }
-    BOOST_TEST(asked <= 210'000);
+    BOOST_TEST(forecast <= 210'000);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/libscheduler/response_time_test.cpp
+++ b/src/libscheduler/response_time_test.cpp
@@ -1,3 +1,5 @@
+/// \file
+/// Tests of the adaptive timeout.
 #include <damaskworks/response_time.h>
 
 #include <boost/test/unit_test.hpp>
@@ -5,9 +7,10 @@
 using namespace damask::fleet;
 using namespace std::chrono_literals;
 
-BOOST_AUTO_TEST_CASE(lostAnswerIsNotWaitedForLongWhereAnswersAreFast)
+BOOST_AUTO_TEST_CASE(timeoutIsShortWhereResponsesAreFast)
 {
-    // On a played day two in five answers of the table were lost, and each cost its caller 0.9 s.
+    // Guards against waiting for the whole limit of 0.9 s each time a response is lost. In a simulated day
+    // two in five responses of the table were lost, and each cost its caller that time.
     ResponseTimes times;
     BOOST_TEST((patience(times, 900ms) == 900ms));
     for (int i = 0; i < 20; ++i)
@@ -19,7 +22,7 @@
     BOOST_TEST((patience(times, 900ms) == 150ms));
 }
 
-BOOST_AUTO_TEST_CASE(serviceThatTurnsSlowIsGivenTime)
+BOOST_AUTO_TEST_CASE(timeoutGrowsWhenTheServiceSlowsDown)
 {
     ResponseTimes times;
     noteAnswer(times, 10ms);
--- a/src/libscheduler/start_gate.cpp
+++ b/src/libscheduler/start_gate.cpp
@@ -5,7 +5,7 @@
 namespace damask::fleet {
 namespace {
 
-/// Fills the spec and a fresh lease into the start order. Returns false if the run is no longer to be
+/// Fills the spec and a fresh lease into the start command. Returns false if the run is no longer to be
 /// started.
 bool prepareOrder(PoolState& state, StartAction& start, TimePoint now)
 {
--- a/src/libscheduler/start_gate_test.cpp
+++ b/src/libscheduler/start_gate_test.cpp
@@ -1,4 +1,5 @@
-/// Starts that wait for the record of their job.
+/// \file
+/// Tests of starts that wait for the durable record and the spec of their job.
 #include "pool_fixture_test.h"
 
 #include <damaskworks/start_gate.h>
@@ -11,61 +12,62 @@
 
 namespace {
 
-struct Gate : PoolFixture {
-    Gate() { addVm("v1"); }
+struct StartGateFixture : PoolFixture {
+    StartGateFixture() { addVm("v1"); }
 
-    std::vector<StartAction> ordered() { return passGate(state, waiting, starts(), clock.now()); }
+    std::vector<StartAction> releasedStarts() { return passGate(state, waiting, starts(), clock.now()); }
 
     WaitingStarts waiting;
 };
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(start_gate, Gate)
+BOOST_FIXTURE_TEST_SUITE(start_gate, StartGateFixture)
 
-BOOST_AUTO_TEST_CASE(firstStartsWaitForTheRecordAndKeepTheirRoom)
+BOOST_AUTO_TEST_CASE(firstStartsWaitForTheRecordWithResourcesReserved)
 {
-    submit("j1", { step(3) });
-    BOOST_TEST(ordered().empty());
+    submit("j1", { makeStep(3) });
+    BOOST_TEST(releasedStarts().empty());
     BOOST_TEST(state.jobs.at("j1").dirty);
     BOOST_TEST(state.vms.at("v1").used.cpu == 3000);
-    BOOST_TEST(ordered().empty());
-    state.jobs.at("j1").begun = true; // the record is durable
-    BOOST_TEST(ordered().size() == 3u);
-    BOOST_TEST(ordered().empty());
+    BOOST_TEST(releasedStarts().empty());
+    state.jobs.at("j1").begun = true; // its record is durable now
+    BOOST_TEST(releasedStarts().size() == 3u);
+    BOOST_TEST(releasedStarts().empty());
 }
 
-BOOST_AUTO_TEST_CASE(laterStartsOfABegunJobDoNotWait)
+BOOST_AUTO_TEST_CASE(laterStartsOfARecordedJobDoNotWait)
 {
-    submit("j1", { step(5) });
-    ordered();
+    submit("j1", { makeStep(5) });
+    releasedStarts();
     state.jobs.at("j1").begun = true;
-    const auto first = ordered();
+    const auto first = releasedStarts();
     BOOST_REQUIRE(first.size() == 4u);
-    report("v1", { end(1, first[0]) });
-    BOOST_TEST(ordered().size() == 1u);
+    report("v1", { makeEnd(1, first[0]) });
+    BOOST_TEST(releasedStarts().size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(startOfAJobCancelledMeanwhileIsDropped)
+BOOST_AUTO_TEST_CASE(heldBackStartOfACancelledJobIsDropped)
 {
-    submit("j1", { step(1) });
-    ordered();
+    submit("j1", { makeStep(1) });
+    releasedStarts();
     cancelJob(state, "j1");
     planStops(state, clock.now());
-    state.jobs.at("j1").begun = true; // by the record of its cancellation
-    BOOST_TEST(ordered().empty());
+    state.jobs.at("j1").begun = true; // the record of its cancellation is durable
+    BOOST_TEST(releasedStarts().empty());
     BOOST_TEST(waiting.empty());
 }
 
 BOOST_AUTO_TEST_CASE(nextHolderStartsJobsWithoutARecordAtOnce)
 {
-    // On a played day 770 cores' work per second waited for 5 s after each change of holder, with all
-    // VMs idle, until no VM could run a task that the earlier holder had started.
+    // Guards against delaying every job after a change of holder. In a simulated day 770 cores' worth of
+    // work per second waited 5 s after each change, with all VMs idle, until no VM could run a task of the
+    // earlier holder.
     state.term = 1;
     state.uncertainUntil = clock.now() + 5s;
-    addVm("v2", 4000, "r1", false); // can't be read
-    submit("begun", { step(1) }, true);
-    addJob(state, job("waiting", { step(1) }), "", true);
+    addVm("v2", 4000, "r1", false); // does not report
+    submit("begun", { makeStep(1) }, true);
+    addJob(state, makeJob("waiting", { makeStep(1) }), "", true);
     const auto now = starts();
     BOOST_REQUIRE(now.size() == 1u);
     BOOST_TEST(now[0].order.task.job == "waiting");
@@ -75,19 +77,19 @@
 
 BOOST_AUTO_TEST_CASE(startsWaitForTheSpecOfTheirJob)
 {
-    auto spec = job("j1", { step(1) });
+    auto spec = makeJob("j1", { makeStep(1) });
     spec.specBytes = 4;
     spec.spec.clear();
     addJob(state, spec, "", false);
-    ordered();
+    releasedStarts();
     auto& entry = state.jobs.at("j1");
     entry.begun = true;
-    BOOST_TEST(ordered().empty());
-    entry.spec.spec = "cake";
+    BOOST_TEST(releasedStarts().empty());
+    entry.spec.spec = "data";
     entry.hasSpec = true;
-    const auto out = ordered();
+    const auto out = releasedStarts();
     BOOST_REQUIRE(out.size() == 1u);
-    BOOST_TEST(out[0].order.spec == "cake");
+    BOOST_TEST(out[0].order.spec == "data");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/libscheduler/step_advice.cpp
+++ b/src/libscheduler/step_advice.cpp
@@ -40,9 +40,9 @@
         if (vms.empty())
             continue;
         step->advice.isRequestPending = true;
-        const auto& terms = *queue->second.advice;
+        const auto& settings = *queue->second.advice;
         const auto count = static_cast<int>(vms.size());
-        return AdviceRequest { id, std::move(vms), terms.decision + terms.perVm * count };
+        return AdviceRequest { id, std::move(vms), settings.decision + settings.perVm * count };
     }
     return std::nullopt;
 }
--- a/src/libscheduler/step_advice_test.cpp
+++ b/src/libscheduler/step_advice_test.cpp
@@ -1,4 +1,5 @@
-/// Steps that only VMs with a ticket of the advice service may run.
+/// \file
+/// Tests of steps that may run only on VMs with a ticket of the advice service.
 #include "pool_fixture_test.h"
 
 #include <damaskworks/step_advice.h>
@@ -11,15 +12,15 @@
 
 namespace {
 
-struct Advised : PoolFixture {
-    Advised()
+struct AdviceFixture : PoolFixture {
+    AdviceFixture()
     {
         state.queues.at("quotes").advice = AdviceTerms { 20ms, 2ms, 3000ms };
         for (const auto* vm : { "v1", "v2", "v3" })
             addVm(vm);
     }
 
-    /// Answers the next question: each VM named gets a ticket of its own.
+    /// Answers the next request with tickets for the VMs in \p allowed; returns the VMs of the request.
     std::vector<std::string> answer(const std::vector<std::string>& allowed)
     {
         const auto question = planAdvice(state, clock.now());
@@ -31,16 +32,16 @@
         return question->vms;
     }
 
-    bool asks() { return planAdvice(state, clock.now()).has_value(); }
+    bool wantsAdvice() { return planAdvice(state, clock.now()).has_value(); }
 };
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(step_advice, Advised)
+BOOST_FIXTURE_TEST_SUITE(step_advice, AdviceFixture)
 
 BOOST_AUTO_TEST_CASE(nothingStartsWithoutATicket)
 {
-    submit("j1", { step(2) });
+    submit("j1", { makeStep(2) });
     BOOST_TEST(starts().empty());
     const auto question = planAdvice(state, clock.now());
     BOOST_REQUIRE(question);
@@ -48,50 +49,50 @@
     BOOST_TEST(question->vms.size() == 3u);
     BOOST_TEST((question->expected == 26ms));
     BOOST_TEST(starts().empty());
-    BOOST_TEST(!asks()); // one question about a step at a time
+    BOOST_TEST(!wantsAdvice()); // one request per step at a time
 }
 
-BOOST_AUTO_TEST_CASE(allTasksRunOnTheVmsThatMayRunThem)
+BOOST_AUTO_TEST_CASE(tasksRunOnlyOnVmsWithATicket)
 {
-    submit("j1", { step(6) });
+    submit("j1", { makeStep(6) });
     starts();
     answer({ "v2" });
-    const auto started = run();
+    const auto started = startAndAccept();
     BOOST_REQUIRE(started.size() == 4u); // as many as fit there
     for (const auto& start : started) {
         BOOST_TEST(start.vm == "v2");
         BOOST_TEST(start.order.ticket == "t-v2");
     }
-    // The others may never run the step, so they are not asked about again.
-    BOOST_TEST(!asks());
+    // The other VMs were denied and may never run the step, so no request names them again.
+    BOOST_TEST(!wantsAdvice());
     addVm("v4");
     starts();
     BOOST_TEST(answer({ "v4" }) == std::vector<std::string> { "v4" }, boost::test_tools::per_element());
-    BOOST_TEST(run().size() == 2u);
+    BOOST_TEST(startAndAccept().size() == 2u);
 }
 
-BOOST_AUTO_TEST_CASE(ticketThatHasExpiredIsAskedForAgain)
+BOOST_AUTO_TEST_CASE(expiredTicketIsRequestedAgain)
 {
-    submit("j1", { step(5) });
+    submit("j1", { makeStep(5) });
     starts();
     answer({ "v2" });
-    const auto started = run();
+    const auto started = startAndAccept();
     BOOST_REQUIRE(started.size() == 4u);
-    advance(2950ms); // too close to the ticket's end for an order's way
-    report("v2", { end(1, started[0]) });
+    advance(2950ms); // the ticket might expire before a command arrives
+    report("v2", { makeEnd(1, started[0]) });
     BOOST_TEST(starts().empty());
     BOOST_TEST(answer({ "v2" }) == std::vector<std::string> { "v2" }, boost::test_tools::per_element());
-    BOOST_TEST(run().size() == 1u);
+    BOOST_TEST(startAndAccept().size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(rejectedTicketIsAskedForAgain)
+BOOST_AUTO_TEST_CASE(rejectedTicketIsRequestedAgain)
 {
-    submit("j1", { step(1) });
+    submit("j1", { makeStep(1) });
     starts();
     answer({ "v1" });
     const auto started = starts();
     BOOST_REQUIRE(started.size() == 1u);
-    // The VM has been restarted, which voids its tickets.
+    // The VM was restarted, which invalidates its tickets.
     applyStartOutcome(
         state, "v1", started[0].order.task, started[0].order.run, OrderOutcome::BadTicket, clock.now());
     BOOST_TEST(starts().empty());
@@ -99,34 +100,34 @@
     BOOST_TEST(starts().size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(questionWithoutAnAnswerIsRepeatedAfterAPause)
+BOOST_AUTO_TEST_CASE(failedRequestIsRetriedAfterADelay)
 {
-    submit("j1", { step(1) });
+    submit("j1", { makeStep(1) });
     starts();
     const auto question = planAdvice(state, clock.now());
     applyAdvice(state, *question, tl::make_unexpected(OrderOutcome::Refused), clock.now());
-    BOOST_TEST(!asks());
+    BOOST_TEST(!wantsAdvice());
     advance(250ms);
-    BOOST_TEST(asks());
+    BOOST_TEST(wantsAdvice());
 }
 
-BOOST_AUTO_TEST_CASE(moreVmsAreAskedAboutWhenThoseAllowedAreFull)
+BOOST_AUTO_TEST_CASE(ticketsForMoreVmsAreRequestedWhenAllowedVmsAreFull)
 {
     for (int i = 10; i < 50; ++i)
         addVm("w" + std::to_string(i));
-    submit("j1", { step(60) });
+    submit("j1", { makeStep(60) });
     starts();
     const auto first = answer({ "v1", "w10" });
     BOOST_TEST(first.size() == 30u);
-    const auto ran = run();
+    const auto ran = startAndAccept();
     BOOST_TEST(!ran.empty());
     BOOST_TEST(answer({}).size() == 13u);
-    BOOST_TEST(!asks());
+    BOOST_TEST(!wantsAdvice());
 }
 
-BOOST_AUTO_TEST_CASE(gangWaitsForTicketsForAllItsMembers)
+BOOST_AUTO_TEST_CASE(gangWaitsForTicketsForAllMembers)
 {
-    auto gang = step(2, 3000);
+    auto gang = makeStep(2, 3000);
     gang.gang = true;
     submit("j1", { gang });
     starts();
--- a/src/libscheduler/table_contact_test.cpp
+++ b/src/libscheduler/table_contact_test.cpp
@@ -1,4 +1,5 @@
-/// When a node that loses the table stops taking callers.
+/// \file
+/// Tests of when a node that can't reach the table stops accepting callers, and of its Retry-After.
 #include <damaskworks/table_contact.h>
 
 #include <boost/test/unit_test.hpp>
@@ -9,7 +10,7 @@
 
 BOOST_AUTO_TEST_SUITE(table_contact)
 
-BOOST_AUTO_TEST_CASE(nodeThatIsTurnedAwayIsDoubtedAtOnceAndTrustedAfterOneAnswer)
+BOOST_AUTO_TEST_CASE(failuresMakeNodeUnreadyUntilTheNextResponse)
 {
     ManualClock clock;
     TableContact contact;
@@ -28,12 +29,12 @@
     BOOST_TEST(!isLost(contact, clock.now()));
 }
 
-BOOST_AUTO_TEST_CASE(nodeWhoseCallsHangIsDoubtedBeforeTheyEnd)
+BOOST_AUTO_TEST_CASE(hangingCallsMakeNodeUnreadyBeforeTheyEnd)
 {
     ManualClock clock;
     TableContact contact;
     noteContact(contact, clock.now());
-    clock.advance(1250ms); // a call for changes that waited for its whole time, and the pause after it
+    clock.advance(1250ms); // a call that waited for changes until its time limit, and the pause after it
     BOOST_TEST(looksReachable(contact, clock.now()));
     BOOST_TEST(!isLost(contact, clock.now()));
     clock.advance(300ms);
@@ -41,9 +42,10 @@
     BOOST_TEST(isLost(contact, clock.now()));
 }
 
-BOOST_AUTO_TEST_CASE(attemptsOfACallerOutlastAnOutageOfTheTable)
+BOOST_AUTO_TEST_CASE(callerRetriesOutlastATableOutage)
 {
-    // On a played day the table was away for 5.5 s; a caller that comes back each second gives up before.
+    // Guards against a Retry-After that is too short: in a simulated day the table was unavailable for 5.5 s,
+    // and a caller that retries every second gives up before that.
     ManualClock clock;
     TableContact contact;
     noteContact(contact, clock.now());
