--- a/src/include/damaskworks/caller_service.h
+++ b/src/include/damaskworks/caller_service.h
@@ -1,5 +1,5 @@
 /// \file
-/// Answers callers: submissions, states, cancellations and counts of jobs.
+/// Answers callers' requests: submissions, states, cancellations and counts of jobs.
 #pragma once
 
 #include <damaskworks/adapter.h>
@@ -16,7 +16,7 @@
 
 namespace damask::fleet {
 
-/// What the service works with.
+/// Dependencies of a CallerService.
 struct CallerContext {
     event_base* base = nullptr;
     const Clock& clock;
@@ -24,23 +24,23 @@
     SharedTable& table;
     const Codec& codec;
     const JobDirectory& directory;
-    /// All that the table was told of jobs before this time is in the directory.
-    std::function<TimePoint()> directoryFreshAt;
+    /// Returns the time up to which the directory contains all changes of jobs in the table.
+    std::function<TimePoint()> directoryCurrentAsOf;
     const TableContact& tableContact;
 };
 
-/// Serves callers at any node. A job is accepted once its row is committed; which node runs it does
-/// not matter here.
+/// Serves callers on any node. A job is accepted once its row is committed, whichever node will run it.
 class CallerService {
 public:
     explicit CallerService(CallerContext context);
-    /// Configuration in force; nullptr before there is one.
+    /// Sets the current configuration; nullptr before there is one.
     void setConfig(std::shared_ptr<const FleetConfig> config) { m_config = std::move(config); }
-    /// Whether the directory holds all jobs.
+    /// Sets whether the directory has loaded all jobs.
     void setDirectoryLoaded(bool loaded) { m_directoryLoaded = loaded; }
+    /// Handles one request and replies to it, at once or later.
     void handle(std::shared_ptr<HttpExchange> exchange);
-    /// Requests that are not answered yet.
-    std::size_t active() const { return m_active; }
+    /// Returns the number of requests without a reply.
+    std::size_t activeRequests() const { return m_activeRequests; }
 
 private:
     struct Call;
@@ -49,18 +49,20 @@
     void commitJob(const CallPointer& call);
     void onSubmitted(const CallPointer& call, TableResult<Version> result);
     void readState(const CallPointer& call);
-    void readRecord(const CallPointer& call, std::function<void(std::optional<JobRecord>)> found);
+    void readRecord(const CallPointer& call, std::function<void(std::optional<JobRecord>)> onRead);
     void cancel(const CallPointer& call);
-    void commitCancel(const CallPointer& call);
-    void retry(const CallPointer& call, void (CallerService::*step)(const CallPointer&));
+    void commitCancellation(const CallPointer& call);
+    /// Calls \p operation again after a backoff.
+    void retry(const CallPointer& call, void (CallerService::*operation)(const CallPointer&));
     bool hasTimeLeft(const Call& call) const;
     milliseconds attemptTimeout(const Call& call) const;
+    /// Replies, and logs and counts the answer. \p outcome goes into the log only.
     void reply(const CallPointer& call, int status, std::string body, std::string_view outcome);
 
     CallerContext m_context;
     std::shared_ptr<const FleetConfig> m_config;
     bool m_directoryLoaded = false;
-    std::size_t m_active = 0;
+    std::size_t m_activeRequests = 0;
 };
 
 } // namespace damask::fleet
--- a/src/include/damaskworks/fleet_node.h
+++ b/src/include/damaskworks/fleet_node.h
@@ -1,5 +1,5 @@
 /// \file
-/// One entry VM of a fleet: serves callers and holds pools.
+/// One node of a fleet: serves callers and runs the pools whose leases it holds.
 #pragma once
 
 #include <damaskworks/adapter.h>
@@ -22,48 +22,55 @@
 
 namespace damask::fleet {
 
-/// Own settings of a node, from flags and environment variables.
+/// Options of a node from flags and environment variables.
 struct NodeOptions {
-    std::string settingsPath; ///< of the platform's settings file
+    std::string settingsPath; ///< path of the platform's settings file
     std::string adapter; ///< name of the adapter plug-in
-    std::uint16_t metricsPort = 0; ///< 0: metrics are not served
+    std::uint16_t metricsPort = 0; ///< 0: the node does not serve metrics
 };
 
-/// Errors of a node.
+/// Why a node could not start.
 struct NodeError {
     std::string detail;
 };
 
-/// Puts the parts of a node together on one loop.
+/// Owns and connects the components of a node, which all run on one loop.
 class FleetNode {
 public:
+    /// \p seed feeds the random generators, and identifies the process in lease rows.
     FleetNode(Loop& loop, const Clock& clock, const AdapterPlugin& plugin, NodeOptions options,
         NodeSettings settings, std::uint64_t seed);
     ~FleetNode();
+    /// Opens the listening sockets and starts to follow the table. Fails if a socket can't listen.
     tl::expected<void, NodeError> start();
-    /// Runs until a planned stop has ended.
+    /// Runs the loop until a graceful stop has ended.
     void run();
 
 private:
-    void followAll();
+    void startFollowers();
+    /// Applies a row that operators write: the configuration or a maintenance wave.
     void applyOperatorRow(const TableRow& row);
     void applyConfig(const TableRow& row);
     void applyVmRow(const TableRow& row);
     void applyVmReset(const std::vector<TableRow>& rows);
-    /// Tells the election which pools need a holder: those of queues, and those with jobs left.
+    /// Tells the election which pools need a holder: those of queues, and those with unfinished jobs.
     void updatePools();
     void removeVm(const std::string& id);
     void applyWave(const TableRow& row);
-    void applyControl();
-    void onLeaseTaken(const std::string& pool, const TakenLease& lease);
-    void beginHolders();
+    /// Called after each batch of control rows, which FleetRows and the election have already applied.
+    void onControlRowsApplied();
+    void onLeaseAcquired(const std::string& pool, const AcquiredLease& lease);
+    /// Begins the holders and the coordinator for which all tables have been read far enough.
+    void beginReadyHolders();
     void dropEndedHolders();
-    /// Whether the node has what it needs to serve callers and pools.
+    /// Returns whether the node has what it needs to serve callers and to run pools.
     bool canServe() const;
-    /// Whether the balancer should send callers here. Stricter: other nodes can take them, while a pool
-    /// without a holder must not wait for a table that just answers slowly.
+    /// Returns whether the balancer should send callers to this node. This is stricter than canServe(): other
+    /// nodes can serve the callers, but a pool must not lose its holder because the table answers slowly.
     bool isReady() const;
-    bool hasContact(std::chrono::milliseconds within) const;
+    /// Returns whether the table has answered within \p maxAge about both jobs and control rows.
+    bool hasRecentContact(std::chrono::milliseconds maxAge) const;
+    /// Periodic work: drops ended holders, updates metrics and logs changes of the readiness.
     void tick();
     void serveReadiness(const std::shared_ptr<HttpExchange>& exchange);
     void serveMetrics(const std::shared_ptr<HttpExchange>& exchange);
@@ -80,12 +87,12 @@
     Metrics m_metrics;
     TableContact m_tableContact;
     Adapter m_adapter;
-    LeaseLimits m_leaseLimits;
+    LeaseTiming m_leaseTiming;
     JobDirectory m_directory;
     std::shared_ptr<const FleetConfig> m_config;
     std::map<std::string, VmEntry> m_vms;
     std::map<std::int64_t, WaveRequest> m_waves;
-    std::set<std::string> m_pools; ///< that need a holder
+    std::set<std::string> m_pools; ///< pools that need a holder
     FleetRows m_fleetRows;
     std::unique_ptr<MachineCoordinator> m_coordinator;
     bool m_coordinatorEnded = false;
@@ -107,7 +114,7 @@
     SignalWatch m_onHangup;
     bool m_wasReady = false;
     bool m_stopping = false;
-    TimePoint m_stopBegan {};
+    TimePoint m_stopStartedAt {};
 };
 
 } // namespace damask::fleet
--- a/src/include/damaskworks/job_directory.h
+++ b/src/include/damaskworks/job_directory.h
@@ -1,5 +1,5 @@
 /// \file
-/// The rows of all jobs: what was accepted, what was cancelled, how far each job is.
+/// Tables and keys of the rows of jobs, and a directory of all jobs: accepted, cancelled and their states.
 #pragma once
 
 #include <damaskworks/job.h>
@@ -17,22 +17,23 @@
 
 /// Table that holds the rows of jobs.
 inline constexpr std::string_view jobTable = "jobs";
-/// Table that holds what jobs pass to their tasks. Only the holder of a job's pool reads it, job by job.
+/// Table that holds the specs which jobs pass to their tasks. Only the holder of a job's pool reads it, one
+/// spec at a time.
 inline constexpr std::string_view specTable = "specs";
-/// Table that holds the leases of pools.
+/// Table that holds the leases and loads of pools, and the coordinator's machine tasks and waves.
 inline constexpr std::string_view controlTable = "control";
 
-/// Row of a pool's part of the control table that holds its load.
+/// Key of a pool's load in its part of the control table.
 inline constexpr std::string_view loadKey = "load";
-/// Name that stands for all machines where a pool's name is expected.
+/// Pool name of the machine coordinator's lease. No pool of VMs has this name.
 inline constexpr std::string_view coordinatorPool = "@machines";
 
 namespace rows {
 
-/// Part that holds a job's own rows. A queue has several, since a part takes only so many
-/// transactions a second.
+/// Returns the part that holds a job's own rows. A queue has several parts, because the table limits the
+/// transactions per second of a part.
 std::string jobPart(std::string_view queue, std::string_view job);
-/// Part that holds a pool's lease, and the states and the progress of its jobs.
+/// Returns the part that holds a pool's lease, and the states and the progress of its jobs.
 std::string poolPart(std::string_view pool);
 std::string jobKey(std::string_view job);
 std::string cancelKey(std::string_view job);
@@ -40,43 +41,48 @@
 
 } // namespace rows
 
-/// What is known of a job.
+/// A job's rows, combined.
 struct JobRecord {
-    std::string text; ///< the job as accepted, see encodeJob(); empty if its row is not known
+    std::string encodedJob; ///< the job as accepted, see encodeJob(); empty if its row has not been read
     std::string queue;
     std::string pool;
     Version version = 0; ///< of the job's row
     bool cancelled = false;
-    bool begun = false; ///< its holder has recorded its state
+    bool hasStateRow = false; ///< the holder of its pool has recorded a state
     JobState state = JobState::Queued;
 
-    bool isAccepted() const { return !text.empty(); }
-    JobState shownState() const;
+    bool isAccepted() const { return !encodedJob.empty(); }
+    /// State to show to callers: a cancelled job that has not ended shows as cancelled.
+    JobState visibleState() const;
 };
 
-/// All jobs, kept up to date from the table's changes.
+/// All jobs, kept up to date from the changes of the table.
 class JobDirectory {
 public:
     using Listener = std::function<void(const std::string& id, const JobRecord& record)>;
-    /// Called for each job accepted or cancelled.
-    void listen(Listener listener) { m_listener = std::move(listener); }
+    /// Sets a listener that is called for each job accepted or cancelled.
+    void setListener(Listener listener) { m_listener = std::move(listener); }
+    /// Replaces everything by \p rows.
     void reset(const std::vector<TableRow>& rows);
+    /// Applies one changed row.
     void apply(const TableRow& row);
-    /// The record of an accepted job, or nullptr.
+    /// Returns the record of an accepted job, or nullptr.
     const JobRecord* find(const std::string& id) const;
     const std::unordered_map<std::string, JobRecord>& records() const { return m_records; }
-    /// Accepted jobs of a queue of which no task has started.
-    std::size_t pending(std::string_view queue) const;
-    /// Pools with jobs that have not ended. A queue routed elsewhere leaves such jobs behind.
-    std::set<std::string> poolsWithWork() const;
+    /// Returns the number of accepted jobs of a queue that are still queued.
+    std::size_t pendingJobs(std::string_view queue) const;
+    /// Returns the pools with jobs that have not ended. After a queue is routed to another pool, its earlier
+    /// jobs stay with the old one.
+    std::set<std::string> poolsWithUnfinishedJobs() const;
 
 private:
     void applyTo(JobRecord& record, const TableRow& row);
-    void count(const JobRecord& record, int amount);
+    /// Adds \p amount (1 or -1) to the counts that include \p record.
+    void updateCounts(const JobRecord& record, int amount);
 
     std::unordered_map<std::string, JobRecord> m_records;
-    std::map<std::string, std::size_t, std::less<>> m_pending; ///< by queue
-    std::map<std::string, std::size_t> m_unfinished; ///< by pool
+    std::map<std::string, std::size_t, std::less<>> m_pending; ///< number of queued jobs by queue
+    std::map<std::string, std::size_t> m_unfinished; ///< number of jobs by pool
     Listener m_listener;
 };
 
--- a/src/include/damaskworks/job_progress.h
+++ b/src/include/damaskworks/job_progress.h
@@ -1,6 +1,6 @@
 /// \file
-/// Rows that tell how far jobs are. Every node follows a job's state; what its tasks have done is
-/// written far more often, and only the next holder of its pool reads it.
+/// Rows that record the progress of jobs. Every node follows the states of jobs. The progress of tasks
+/// changes far more often; it has a table of its own, which only the next holder of the pool reads.
 #pragma once
 
 #include <damaskworks/loop.h>
@@ -17,27 +17,28 @@
 
 namespace damask::fleet {
 
-/// Table that holds the progress of the tasks of jobs that have not ended, in their pools' parts.
+/// Table that holds the progress of the tasks of unfinished jobs, in the parts of their pools.
 inline constexpr std::string_view progressTable = "progress";
 
-/// Most writes of appendProgress().
-inline constexpr std::size_t writesPerJob = 2;
+/// Largest number of writes that appendProgress() appends.
+inline constexpr std::size_t maxWritesPerJob = 2;
 
-/// Appends the writes that record the job as it is now: its state if it differs from the one recorded,
-/// and its tasks, or their removal once it has ended. Counts the state as recorded.
+/// Appends the writes that record the current progress of the job: its state if that differs from
+/// JobEntry::recorded, and the progress of its tasks, or the deletion of that row once the job has ended.
+/// Updates JobEntry::recorded.
 void appendProgress(JobEntry& job, std::vector<TableWrite>& writes);
 
-/// Reads the progress of all jobs of a pool, as earlier holders have written it.
+/// Reads the progress of all jobs of a pool that earlier holders have recorded.
 class ProgressReader {
 public:
-    /// Rows by job.
+    /// Encoded progress by job id.
     using Rows = std::map<std::string, std::string>;
     using Listener = std::function<void(Rows)>;
 
-    /// \p onRead is called once, when the table has answered in full.
+    /// Calls \p onRead once, with all rows. Failed reads are retried without limit.
     ProgressReader(event_base* base, SharedTable& table, Metrics& metrics, std::string pool, Listener onRead);
     ~ProgressReader();
-    /// Reads from now on; what was committed before is contained.
+    /// Starts to read. The result contains everything committed before this call.
     void start() { read(); }
 
 private:
@@ -49,7 +50,7 @@
     std::string m_part;
     Listener m_onRead;
     Timer m_timer;
-    std::string m_from;
+    std::string m_nextKey; ///< first key of the next page
     Rows m_rows;
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true); ///< false once destroyed
 };
--- a/src/include/damaskworks/machine_coordinator.h
+++ b/src/include/damaskworks/machine_coordinator.h
@@ -1,5 +1,5 @@
 /// \file
-/// Carries out maintenance and moves of machines while this node holds the coordinator's lease.
+/// Coordinates maintenance and moves of machines while this node holds the coordinator's lease.
 #pragma once
 
 #include <damaskworks/adapter.h>
@@ -16,31 +16,33 @@
 
 namespace damask::fleet {
 
-/// What is durable of a wave.
+/// Durable record of a maintenance wave.
 struct WaveRecord {
-    WallTime begunAt { 0 }; ///< when a coordinator saw it first
-    std::set<std::string> done; ///< machines that had their maintenance
+    WallTime begunAt { 0 }; ///< when a coordinator first saw the wave
+    std::set<std::string> done; ///< machines whose maintenance was carried out
 };
 
-/// Rows of the control table that concern machines, as every node follows them.
+/// Pool loads, machine tasks and waves from the rows of the control table. Every node keeps them up to date.
 class FleetRows {
 public:
+    /// Replaces everything by \p rows.
     void reset(const std::vector<TableRow>& rows);
+    /// Applies one changed row; ignores rows of other kinds.
     void apply(const TableRow& row);
     const std::map<std::string, PoolLoad>& loads() const { return m_loads; }
     const std::map<std::string, MachineTask>& tasks() const { return m_tasks; }
     const std::map<std::int64_t, WaveRecord>& waves() const { return m_waves; }
-    /// Machines that are to be emptied, with the task's id.
-    const std::map<std::string, std::string>& emptying() const { return m_emptying; }
+    /// Machines to evacuate, each with the id of its machine task.
+    const std::map<std::string, std::string>& evacuations() const { return m_evacuations; }
 
 private:
     std::map<std::string, PoolLoad> m_loads;
     std::map<std::string, MachineTask> m_tasks;
     std::map<std::int64_t, WaveRecord> m_waves;
-    std::map<std::string, std::string> m_emptying;
+    std::map<std::string, std::string> m_evacuations;
 };
 
-/// What the coordinator works with.
+/// Dependencies of a MachineCoordinator.
 struct CoordinatorContext {
     event_base* base = nullptr;
     const Clock& clock;
@@ -51,69 +53,74 @@
     const FleetRows& rows;
 };
 
+/// Plans machine tasks (maintenance and moves), orders them from the platform and reports finished waves.
+/// Each task is durable in the table before the coordinator acts on it.
 class MachineCoordinator {
 public:
-    /// \p onEnd is called once when the lease was lost or given back.
-    MachineCoordinator(
-        CoordinatorContext context, TakenLease lease, LeaseLimits limits, std::function<void()> onEnd);
+    /// Calls \p onEnd once, when the lease is lost or released.
+    MachineCoordinator(CoordinatorContext context, AcquiredLease lease, LeaseTiming leaseTiming,
+        std::function<void()> onEnd);
     ~MachineCoordinator();
 
-    Version takenAt() const { return m_takenAt; }
+    /// Version of the lease row at acquisition.
+    Version acquiredVersion() const { return m_acquiredVersion; }
     bool hasBegun() const { return m_begun; }
-    /// Starts to act; the rows are up to date.
+    /// Starts to send orders. Requires rows that cover acquiredVersion().
     void begin(const FleetConfig& config, const std::map<std::int64_t, WaveRequest>& waves);
     void applyConfig(const FleetConfig& config);
     void applyWave(const WaveRequest& wave);
-    /// A VM has registered.
+    /// A VM has registered or changed its registration.
     void applyVm(const VmEntry& vm);
     /// The registration of the VM has ended.
     void removeVm(const VmEntry& vm);
-    /// Decides and acts on what is known now.
-    void pass();
+    /// Plans from the current state, and sends the resulting orders and reports.
+    void reconcile();
+    /// Stops sending orders and releases the lease.
     void release();
 
 private:
-    void applyRows();
-    void readMachines(TimePoint now);
-    void takeMachines(std::vector<Machine> machines);
-    /// Finds tasks whose machine is up with its old VM after the order: it had been carried out before.
-    void noteDoneBefore();
+    void updateLoads();
+    void requestMachineList(TimePoint now);
+    void applyMachineList(std::vector<Machine> machines);
+    /// Finds tasks whose machine is up with its old VM after the order was accepted. An earlier coordinator
+    /// had already had the order carried out.
+    void detectRepeatedOrders();
     void beginTasks(TimePoint now);
     void beginTask(MachineTask task);
-    void giveOrders(TimePoint now);
-    void giveOrder(const MachineTask& task);
-    void onOrdered(const std::string& machine, OrderOutcome outcome);
+    void sendOrders(TimePoint now);
+    void sendOrder(const MachineTask& task);
+    void onOrderOutcome(const std::string& machine, OrderOutcome outcome);
     void finishTasks();
     void reportWaves();
-    void writeStatus(std::int64_t wave, bool completed);
-    bool isActive() const;
+    void writeWaveStatus(std::int64_t wave, bool completed);
+    bool hasWork() const;
     LedgerBatch collect();
     void onCommitted(const LedgerBatch& batch);
     void onFailed(const LedgerBatch& batch);
 
     CoordinatorContext m_context;
-    Version m_takenAt;
-    std::uint64_t m_begunTasks = 0;
+    Version m_acquiredVersion;
+    std::uint64_t m_taskCount = 0; ///< tasks that this coordinator has begun; part of their ids
     std::function<void()> m_onEnd;
     FleetState m_state;
-    std::set<std::string> m_goneVms; ///< whose registration has ended
+    std::set<std::string> m_unregisteredVms; ///< VMs whose registration has ended
     FleetLimits m_limits;
     PoolLedger m_ledger;
     Timer m_timer;
-    std::map<std::string, std::string> m_durable; ///< text of the machines' rows as committed
-    std::map<std::int64_t, WallTime> m_waveBegun;
-    std::set<std::int64_t> m_changedWaves; ///< whose rows are to be written
-    std::set<std::int64_t> m_durableWaves; ///< whose rows hold all that is known
-    std::set<std::string> m_changedTasks;
-    std::map<std::string, TimePoint> m_nextOrder; ///< by machine, of orders to be repeated
-    std::set<std::string> m_ordering; ///< machines with a call under way
-    std::map<std::int64_t, bool> m_reported; ///< wave: whether it was reported as completed
-    std::set<std::int64_t> m_reporting;
-    std::map<std::string, TimePoint> m_orderedAt; ///< by machine, when its order was accepted
-    TimePoint m_nextRead {};
-    TimePoint m_readSince {}; ///< start of the reading under way
-    bool m_reading = false;
-    bool m_read = false;
+    std::map<std::string, std::string> m_committedTasks; ///< by machine, committed text of its task row
+    std::map<std::int64_t, WallTime> m_waveStartTimes;
+    std::set<std::int64_t> m_changedWaves; ///< waves whose rows must be written
+    std::set<std::int64_t> m_committedWaves; ///< waves whose rows are up to date
+    std::set<std::string> m_changedTasks; ///< machines whose task rows must be written
+    std::map<std::string, TimePoint> m_nextOrderAt; ///< by machine, earliest time of the next attempt
+    std::set<std::string> m_ordersInFlight; ///< machines
+    std::map<std::int64_t, bool> m_reported; ///< by wave, whether it was reported as completed
+    std::set<std::int64_t> m_statusWritesInFlight; ///< waves
+    std::map<std::string, TimePoint> m_orderAcceptedAt; ///< by machine, when its order was accepted
+    TimePoint m_nextListAt {};
+    TimePoint m_listRequestedAt {}; ///< time of the last request for the machine list
+    bool m_isListing = false;
+    bool m_hasMachineList = false;
     bool m_begun = false;
     bool m_ended = false;
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true); ///< false once destroyed
--- a/src/include/damaskworks/pool_election.h
+++ b/src/include/damaskworks/pool_election.h
@@ -1,5 +1,6 @@
 /// \file
-/// Takes free leases of pools.
+/// Acquires free leases of pools. Each node runs one election; there is no voting. The node whose
+/// transaction on the lease row commits first becomes the holder.
 #pragma once
 
 #include <damaskworks/clock.h>
@@ -15,55 +16,62 @@
 
 namespace damask::fleet {
 
-/// Observes the leases of all pools and takes those that are free.
+/// Tracks the leases of all pools and acquires free ones.
 class PoolElection {
 public:
-    struct Events {
-        /// Whether this node may take leases now.
-        std::function<bool()> mayTake;
+    struct Callbacks {
+        /// Returns whether this node may acquire leases now.
+        std::function<bool()> mayAcquire;
+        /// Returns the number of leases that this node holds.
         std::function<std::size_t()> heldPools;
-        std::function<void(const std::string& pool, TakenLease lease)> taken;
+        /// Called when this node has acquired the lease of \c pool.
+        std::function<void(const std::string& pool, AcquiredLease lease)> acquired;
     };
 
     PoolElection(event_base* base, SharedTable& table, const Clock& clock, std::string node,
-        std::string session, NodeStrength strength, std::uint64_t seed, LeaseLimits limits, Events events);
+        std::string session, NodeCapacity capacity, std::uint64_t seed, LeaseTiming timing,
+        Callbacks callbacks);
     ~PoolElection();
 
-    /// Pools that need a holder.
+    /// Sets the pools that need a holder.
     void setPools(std::set<std::string> pools);
+    /// Applies one changed row of the control table; ignores rows that are not leases.
     void applyRow(const TableRow& row);
+    /// Applies all rows of the control table, newer versions only.
     void reset(const std::vector<TableRow>& rows);
-    /// Looks for free leases.
+    /// Looks for free leases and tries to acquire those whose delay has passed.
     void check();
     const std::map<std::string, ObservedLease>& leases() const { return m_leases; }
 
 private:
-    void take(const std::string& pool);
-    void onTaken(const std::string& pool, const LeaseRow& row, TimePoint sentAt, TableResult<Version> result);
-    void readBack(const std::string& pool, const LeaseRow& row, TimePoint sentAt);
+    void acquire(const std::string& pool);
+    void onAcquireResult(
+        const std::string& pool, const LeaseRow& row, TimePoint sentAt, TableResult<Version> result);
+    /// Reads the lease row after an acquisition whose outcome is unknown.
+    void verifyAcquisition(const std::string& pool, const LeaseRow& row, TimePoint sentAt);
 
     SharedTable& m_table;
     const Clock& m_clock;
     std::string m_node;
     std::string m_session;
-    NodeStrength m_strength;
+    NodeCapacity m_capacity;
     std::mt19937_64 m_random;
-    LeaseLimits m_limits;
-    Events m_events;
+    LeaseTiming m_timing;
+    Callbacks m_callbacks;
     Timer m_timer;
     std::set<std::string> m_pools;
     std::map<std::string, ObservedLease> m_leases;
-    /// A lease that can be taken.
+    /// A lease that this node may acquire.
     struct FreeLease {
-        TimePoint since {}; ///< when this node saw that it is free, or last failed to take it
-        double spread = 0; ///< 0 to 1, of this node's delay; other for each pool, so that nodes differ
+        TimePoint since {}; ///< when this node found it free, or last failed to acquire it
+        double jitter = 0; ///< 0 to 1; drawn per pool, so that nodes try pools in different orders
     };
-    /// When the node tries for the lease if nothing changes.
-    TimePoint attemptAt(const FreeLease& lease) const;
-    void findFree(TimePoint now);
-    std::map<std::string, FreeLease> m_free;
-    std::set<std::string> m_taking;
-    std::uint64_t m_takes = 0;
+    /// Returns when this node tries to acquire the lease if nothing changes until then.
+    TimePoint attemptTime(const FreeLease& lease) const;
+    void updateFreeLeases(TimePoint now);
+    std::map<std::string, FreeLease> m_freeLeases;
+    std::set<std::string> m_acquiring; ///< pools with an attempt in progress
+    std::uint64_t m_acquireAttempts = 0;
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true); ///< false once destroyed
 };
 
--- a/src/include/damaskworks/pool_holder.h
+++ b/src/include/damaskworks/pool_holder.h
@@ -20,7 +20,7 @@
 
 namespace damask::fleet {
 
-/// What a holder works with.
+/// Dependencies of a PoolHolder.
 struct HolderContext {
     event_base* base = nullptr;
     const Clock& clock;
@@ -30,97 +30,103 @@
     MachineControl& machines;
     AdviceControl& advice;
     const JobDirectory& directory;
-    /// Whether the directory is up to date enough for starts.
-    std::function<bool()> jobsAreFresh;
+    /// Returns whether the job table has answered recently enough to start tasks.
+    std::function<bool()> isDirectoryFresh;
 };
 
-/// Gives orders to the VMs of one pool and records what they report.
+/// Sends orders to the VMs of one pool and records what they report.
 class PoolHolder {
 public:
-    /// \p onRead is called once when what earlier holders have recorded is read, \p onEnd when the lease was
-    /// lost or given back.
-    PoolHolder(HolderContext context, std::string pool, TakenLease lease, LeaseLimits limits,
-        milliseconds maxVmLease, std::function<void()> onRead, std::function<void()> onEnd);
+    /// Calls \p onProgressLoaded once, when it has read the progress that earlier holders recorded, and
+    /// \p onEnd when the lease is lost or released. \p maxVmLease limits the leases of the VMs' tasks.
+    PoolHolder(HolderContext context, std::string pool, AcquiredLease lease, LeaseTiming leaseTiming,
+        milliseconds maxVmLease, std::function<void()> onProgressLoaded, std::function<void()> onEnd);
     ~PoolHolder();
 
     const std::string& pool() const { return m_state.pool; }
-    /// Version of the table that the node must have read before begin().
-    Version takenAt() const { return m_takenAt; }
+    /// Version of the lease row at acquisition. The node must have read the table up to this version before
+    /// it calls begin().
+    Version acquiredVersion() const { return m_acquiredVersion; }
     bool hasBegun() const { return m_begun; }
-    /// Whether what earlier holders have recorded is read.
-    bool isRead() const { return m_progress.has_value(); }
-    /// Starts to give orders; the directory and the registry are up to date, and isRead().
+    /// Returns whether the progress recorded by earlier holders is loaded.
+    bool isProgressLoaded() const { return m_earlierProgress.has_value(); }
+    /// Starts to send orders. Requires isProgressLoaded(), and a directory and VM registry that cover
+    /// acquiredVersion().
     void begin(const FleetConfig& config, const std::map<std::string, VmEntry>& vms);
     void applyConfig(const FleetConfig& config);
     void applyJob(const std::string& id, const JobRecord& record);
     void listVm(const VmEntry& vm);
     void unlistVm(const std::string& id);
-    /// Machines that are to be emptied, with the id of the task for which they are.
+    /// Sets the machines to evacuate, each with the id of the machine task that requires it.
     void setEvacuations(const std::map<std::string, std::string>& machines);
-    /// Stops giving orders and gives the lease back.
+    /// Stops sending orders and releases the lease.
     void release();
     const PoolState& state() const { return m_state; }
 
 private:
-    /// Events that arrive within this time are decided on together.
-    static constexpr milliseconds passDelay { 2 };
+    /// Groups events that arrive close together into one call of reconcile().
+    static constexpr milliseconds reconcileDelay { 2 };
 
-    /// Calls to one VM.
-    struct Link {
-        bool holding = false;
-        TimePoint nextHold {};
-        TimePoint unacknowledgedSince {}; ///< zero: all ends are durable
-        std::uint64_t sentAcknowledgement = 0;
+    /// State of the hold requests to one VM. A hold request renews the VM's lease, acknowledges completions
+    /// and waits for new ones (see HoldOrder).
+    struct HoldState {
+        bool isInFlight = false;
+        TimePoint nextHoldAt {};
+        TimePoint ackPendingSince {}; ///< zero: no request waits for completions to become durable
+        std::uint64_t lastAckSent = 0; ///< highest completion number that a request has acknowledged
     };
 
-    void readMachines();
-    void noteEvacuation(VmState& vm) const;
+    void requestMachineList();
+    void applyEvacuation(VmState& vm) const;
+    /// Adds a job together with the progress that an earlier holder recorded.
     void addRecordedJob(JobSpec job, const JobRecord& record);
-    void wake(std::chrono::microseconds delay);
-    void pass();
+    /// Calls reconcile() after \p delay, unless an earlier call is scheduled.
+    void scheduleReconcile(std::chrono::microseconds delay);
+    /// Plans from the current state and sends the resulting orders.
+    void reconcile();
     void sendStops(TimePoint now);
     void sendStarts(TimePoint now);
     void sendHolds(TimePoint now);
-    bool wantsHold(const VmState& vm, Link& link, TimePoint now);
-    void sendHold(const std::string& name, VmState& vm, Link& link, TimePoint now);
+    bool needsHold(const VmState& vm, HoldState& holdState, TimePoint now);
+    void sendHold(const std::string& name, VmState& vm, HoldState& holdState, TimePoint now);
     void onReport(const std::string& name, tl::expected<VmReport, OrderOutcome> report, TimePoint sentAt);
-    void onSpec(const std::string& job, std::string spec);
-    void onStarted(const StartAction& start, OrderOutcome outcome, TimePoint sentAt);
+    void onSpecRead(const std::string& job, std::string spec);
+    void onStartOutcome(const StartAction& start, OrderOutcome outcome, TimePoint sentAt);
     void sendPaces(const std::string& name, TimePoint now);
-    void noteOutcome(const std::string& vm, OrderOutcome outcome);
-    VmTarget target(const VmState& vm) const;
-    LedgerBatch collect();
+    void handleOrderOutcome(const std::string& vm, OrderOutcome outcome);
+    VmTarget makeTarget(const VmState& vm) const;
+    LedgerBatch collectBatch();
     void onCommitted(const LedgerBatch& batch);
-    /// Logs the end of a job and how it stands against its objective.
-    void noteEnded(const JobEntry& job);
+    /// Logs and counts the end of a job, and whether it met its objective.
+    void recordJobEnd(const JobEntry& job);
     void onFailed(const LedgerBatch& batch);
-    /// Forgets jobs whose end is durable and of which nothing runs.
-    void forgetEnded();
+    /// Removes jobs whose end is durable and which have no runs left.
+    void removeEndedJobs();
     void markDirtyIfNeeded();
     void publishLoad(TimePoint now);
     void logLoad(TimePoint now);
 
     HolderContext m_context;
     PoolState m_state;
-    Version m_takenAt;
+    Version m_acquiredVersion;
     milliseconds m_maxVmLease;
     std::function<void()> m_onEnd;
     PoolLedger m_ledger;
     StepAdvisor m_advisor;
-    SpecReader m_specs;
+    SpecReader m_specReader;
     ProgressReader m_progressReader;
-    std::optional<ProgressReader::Rows> m_progress; ///< of earlier holders
-    Timer m_passTimer;
-    TimePoint m_passAt {};
-    bool m_passPlanned = false;
-    std::map<std::string, Link> m_links;
+    std::optional<ProgressReader::Rows> m_earlierProgress; ///< recorded by earlier holders; not set: loading
+    Timer m_reconcileTimer;
+    TimePoint m_reconcileAt {};
+    bool m_isReconcileScheduled = false;
+    std::map<std::string, HoldState> m_holdStates;
     WaitingStarts m_waitingStarts;
-    std::set<std::string> m_writing; ///< jobs in the transaction under way
-    std::set<std::string> m_forgotten; ///< ended jobs whose end the directory does not show yet
-    std::map<std::string, std::string> m_evacuations;
-    PoolLoad m_load; ///< as last written
-    std::optional<PoolLoad> m_newLoad; ///< to be written
-    TimePoint m_loadAt {};
+    std::set<std::string> m_jobsInTransaction; ///< jobs that the transaction in flight writes
+    std::set<std::string> m_removedJobs; ///< removed jobs whose end the directory does not show yet
+    std::map<std::string, std::string> m_evacuations; ///< task id by machine
+    PoolLoad m_publishedLoad; ///< as last written
+    std::optional<PoolLoad> m_pendingLoad; ///< not yet written
+    TimePoint m_loadPublishedAt {};
     TimePoint m_loadLoggedAt {};
     bool m_begun = false;
     bool m_ended = false;
--- a/src/include/damaskworks/pool_lease.h
+++ b/src/include/damaskworks/pool_lease.h
@@ -1,5 +1,5 @@
 /// \file
-/// The lease of a pool: a row that names the pool's holder.
+/// Leases of pools. The lease row of a pool names its holder, the node that runs the pool.
 #pragma once
 
 #include <damaskworks/clock.h>
@@ -11,50 +11,52 @@
 
 namespace damask::fleet {
 
-/// Row of a pool's lease.
+/// Content of a pool's lease row.
 struct LeaseRow {
-    std::string node; ///< of the holder; empty: released
-    std::string session; ///< of the holder's process
-    std::uint64_t term = 0; ///< holders before this one
-    std::uint64_t renewals = 0;
+    std::string node; ///< name of the holder; empty: the lease is released
+    std::string session; ///< identifies the holder's process
+    std::uint64_t term = 0; ///< number of earlier holders
+    std::uint64_t renewals = 0; ///< counter; each renewal or acquisition changes the row
     bool operator==(const LeaseRow&) const = default;
 };
 
 inline constexpr std::string_view leaseKey = "lease";
 
-/// Time limits of leases.
-struct LeaseLimits {
-    /// A lease that was not renewed for this long may be taken. A holder that was stopped is
-    /// replaced within this and one election.
+/// Timing of leases.
+struct LeaseTiming {
+    /// Other nodes may acquire a lease that its holder has not renewed for this long. After a holder
+    /// stops, another node replaces it within this time plus one election.
     std::chrono::milliseconds expiry { 2000 };
-    /// Renewals fit three times into the expiry, so that one may fail.
-    std::chrono::milliseconds renewal { 600 };
-    /// The holder gives no orders this long before others may take its lease.
-    std::chrono::milliseconds margin { 300 };
+    /// Three renewals fit into the expiry, so that one of them may fail.
+    std::chrono::milliseconds renewalInterval { 600 };
+    /// The holder stops sending orders this long before other nodes may acquire its lease.
+    std::chrono::milliseconds safetyMargin { 300 };
 };
 
 std::string encodeLease(const LeaseRow& lease);
 std::optional<LeaseRow> decodeLease(std::string_view text);
 
-/// What an observer knows of a pool's lease.
+/// A pool's lease as seen by one node.
 struct ObservedLease {
     LeaseRow row;
-    Version version = 0; ///< 0: there is no row
-    TimePoint changedAt {}; ///< when the observer saw the row change last
+    Version version = 0; ///< of the row; 0: there is no row
+    TimePoint changedAt {}; ///< when the node last saw the row change
 };
 
-/// Whether the lease may be taken. The node's own earlier process has ended when a new one runs.
-bool isTakeable(const ObservedLease& lease, std::string_view node, const LeaseLimits& limits, TimePoint now);
+/// Returns whether \p node may acquire the lease: it is released, expired, or still names \p node. In the
+/// last case the holder was an earlier process of the same node, which has ended.
+bool isAcquirable(
+    const ObservedLease& lease, std::string_view node, const LeaseTiming& timing, TimePoint now);
 
-/// What a node has for the work of a holder.
-struct NodeStrength {
-    double cpuShare = 1; ///< of a core
-    double linkMbps = 1000;
+/// Processor and network capacity of a node.
+struct NodeCapacity {
+    double cpuShare = 1; ///< in cores
+    double linkMbps = 1000; ///< in Mbit/s
 };
 
-/// Delay before a node tries to take a free lease: the fewer pools it holds and the stronger it is the
-/// shorter, so that pools spread over the nodes that can carry them; nodes that are alike differ by
-/// \p spread (0 to 1).
-std::chrono::milliseconds electionDelay(std::size_t heldPools, const NodeStrength& node, double spread);
+/// Returns how long a node waits before it tries to acquire a free lease. Nodes that hold fewer pools or have
+/// more capacity wait for a shorter time, which balances the pools over the nodes. \p jitter (0 to 1)
+/// separates nodes of equal load and capacity.
+std::chrono::milliseconds electionDelay(std::size_t heldPools, const NodeCapacity& node, double jitter);
 
 } // namespace damask::fleet
--- a/src/include/damaskworks/pool_ledger.h
+++ b/src/include/damaskworks/pool_ledger.h
@@ -1,5 +1,6 @@
 /// \file
-/// Writes of a pool's holder: its lease and the progress of its jobs, one transaction at a time.
+/// Writes of a pool's holder to the table: the renewals of its lease and the progress of its jobs, one
+/// transaction at a time.
 #pragma once
 
 #include <damaskworks/clock.h>
@@ -17,93 +18,96 @@
 
 namespace damask::fleet {
 
-/// Ends of one boot of a VM, up to a number.
-struct CoveredEnds {
-    std::int64_t born = 0;
-    std::uint64_t number = 0;
+/// Completions of one boot of a VM that are recorded in the table, up to a sequence number.
+struct DurableCompletions {
+    std::int64_t bootTime = 0; ///< identifies the boot, milliseconds since 1970
+    std::uint64_t lastNumber = 0; ///< highest recorded EndReport::number
 };
 
-/// Rows that are written together, and the ends that they cover.
+/// Rows to write in one transaction, and the completions that are durable once it has committed.
 struct LedgerBatch {
     std::vector<TableWrite> writes;
-    std::set<std::string> jobs; ///< whose progress is among the rows
-    /// Ends of each VM that are contained in the rows written up to this batch.
-    std::map<std::string, CoveredEnds> ends;
+    std::set<std::string> jobs; ///< jobs whose progress is among the rows
+    /// By VM: completions that the rows written up to and including this batch record.
+    std::map<std::string, DurableCompletions> completions;
 };
 
-/// A lease that was just taken.
-struct TakenLease {
+/// A lease that this node has just acquired.
+struct AcquiredLease {
     LeaseRow row;
-    Version version = 0;
-    TimePoint sentAt {}; ///< when the transaction that took it was sent
+    Version version = 0; ///< of the lease row, and the first fencing token
+    TimePoint sentAt {}; ///< when this node sent the transaction; the lease time counts from here
 };
 
-/// Keeps the lease and writes progress under the condition that the lease is unchanged, so that a
-/// holder that was replaced writes nothing. A transaction whose answer was lost may still commit;
-/// the lease row is rewritten before anything else is written, after which it can't.
+/// Renews the lease and writes progress. Every transaction expects the lease row to be unchanged, so a
+/// replaced holder can write nothing. A transaction whose answer was lost may still commit later. The
+/// ledger therefore rewrites the lease row before it writes anything else, which invalidates the lost
+/// transaction's expectation.
 class PoolLedger {
 public:
-    struct Events {
-        /// Gives what is to be written now; empty if nothing is.
+    struct Callbacks {
+        /// Returns what to write now; an empty batch if there is nothing.
         std::function<LedgerBatch()> collect;
+        /// The rows of the batch are durable.
         std::function<void(const LedgerBatch&)> committed;
-        /// The rows were not written, or it is not known whether they were.
+        /// The transaction failed or its outcome is unknown; the rows must be written again.
         std::function<void(const LedgerBatch&)> failed;
-        /// The lease was renewed: orders may be given again.
+        /// The lease was renewed; if it had expired, the holder may send orders again.
         std::function<void()> renewed;
-        /// Another node holds the lease.
+        /// Another node has acquired the lease. The ledger makes no further calls.
         std::function<void()> lost;
-        /// The lease was given back.
+        /// The lease is released. The ledger makes no further calls.
         std::function<void()> released;
     };
 
     PoolLedger(event_base* base, SharedTable& table, const Clock& clock, Metrics& metrics, std::string pool,
-        TakenLease lease, LeaseLimits limits, Events events);
+        AcquiredLease lease, LeaseTiming timing, Callbacks callbacks);
 
     ~PoolLedger();
 
-    /// Something is to be written.
+    /// Schedules a write; the ledger then asks Callbacks::collect for the batch.
     void markDirty();
-    /// Gives the lease back once the transaction under way has ended.
+    /// Writes what is left and releases the lease, after the request in flight has ended.
     void release();
-    /// Takes a higher fencing token with the next renewal, which is made at once.
-    void raiseFence();
-    /// Whether the lease is certainly still this node's.
-    bool mayOrder() const;
-    /// Fencing token of orders.
-    Version fence() const { return m_fence; }
+    /// Renews the lease at once and uses the new row version as the fencing token.
+    void raiseFencingToken();
+    /// Returns whether this node certainly holds the lease, so that it may send orders.
+    bool isLeaseValid() const;
+    /// Returns the fencing token to put into orders.
+    Version fencingToken() const { return m_fencingToken; }
     std::uint64_t term() const { return m_lease.term; }
 
 private:
-    enum class Call { None, Renew, Progress, Release, Read };
-    void pump();
-    void send(Call call, TableTransaction transaction, TableCallback<Version> callback);
+    enum class Request { None, RenewLease, WriteProgress, ReleaseLease, ReadLease };
+    /// Sends the most urgent request if none is in flight: renewal, then progress, then release.
+    void sendNext();
+    void send(Request request, TableTransaction transaction, TableCallback<Version> callback);
     TableTransaction leaseTransaction(const LeaseRow& row) const;
     void renew();
     void writeProgress();
     void sendRelease();
-    /// Finds out who holds the lease after a conflict.
+    /// Reads the lease row after a conflict to find out which node holds the lease.
     void readLease();
-    void lose();
-    void pumpAfter(std::chrono::milliseconds delay);
+    void onLeaseLost();
+    void scheduleNext(std::chrono::milliseconds delay);
 
     SharedTable& m_table;
     const Clock& m_clock;
     Metrics& m_metrics;
     std::string m_pool;
     LeaseRow m_lease;
-    Version m_version;
-    Version m_fence;
-    LeaseLimits m_limits;
-    Events m_events;
+    Version m_leaseVersion; ///< expected by the next transaction
+    Version m_fencingToken;
+    LeaseTiming m_timing;
+    Callbacks m_callbacks;
     Timer m_timer;
-    Call m_call = Call::None;
-    TimePoint m_validUntil;
+    Request m_inFlight = Request::None;
+    TimePoint m_leaseValidUntil; ///< on this node's clock, with the safety margin taken off
     TimePoint m_nextRenewal;
     TimePoint m_dirtySince {};
     bool m_dirty = false;
-    bool m_mustRenew = false; ///< an earlier transaction may still commit
-    bool m_raiseFence = false;
+    bool m_mustRenew = false; ///< an earlier transaction has an unknown outcome and may still commit
+    bool m_raiseTokenOnRenewal = false;
     bool m_releasing = false;
     bool m_ended = false;
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true); ///< false once destroyed
--- a/src/include/damaskworks/spec_reader.h
+++ b/src/include/damaskworks/spec_reader.h
@@ -1,5 +1,5 @@
 /// \file
-/// Reads what jobs pass to their tasks.
+/// Reads the specs that jobs pass to their tasks.
 #pragma once
 
 #include <damaskworks/loop.h>
@@ -13,31 +13,31 @@
 
 namespace damask::fleet {
 
-/// Reads the specs of jobs from the table, a few at a time.
+/// Reads the specs of jobs from the table, with a limited number of reads at a time.
 class SpecReader {
 public:
     using Listener = std::function<void(const std::string& job, std::string spec)>;
 
     SpecReader(event_base* base, SharedTable& table, Metrics& metrics, Listener onRead);
     ~SpecReader();
-    /// Reads the spec of a job; repeated until the table answers.
-    void want(std::string part, std::string job);
+    /// Reads the spec of a job and passes it to the listener. Failed reads are retried without limit.
+    void requestSpec(std::string part, std::string job);
 
 private:
-    struct Wanted {
+    struct Request {
         std::string part;
         std::string job;
     };
-    void pump();
-    void read(const Wanted& wanted);
-    void onRows(const Wanted& wanted, const TableResult<TableRows>& rows);
+    void sendReads();
+    void read(const Request& request);
+    void onRows(const Request& request, const TableResult<TableRows>& rows);
 
     SharedTable& m_table;
     Metrics& m_metrics;
     Listener m_onRead;
     Timer m_timer;
-    std::deque<Wanted> m_waiting;
-    int m_open = 0;
+    std::deque<Request> m_queue;
+    int m_openReads = 0;
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true); ///< false once destroyed
 };
 
--- a/src/include/damaskworks/step_advisor.h
+++ b/src/include/damaskworks/step_advisor.h
@@ -1,5 +1,5 @@
 /// \file
-/// Asks the advice service for the tickets that a pool's steps wait for.
+/// Requests from the advice service the tickets that steps of a pool need to run on a VM.
 #pragma once
 
 #include <damaskworks/metrics.h>
@@ -10,15 +10,15 @@
 
 namespace damask::fleet {
 
-/// Keeps one question open at a time: the service answers a node's questions one after another.
+/// Sends one question at a time, since the service answers a node's questions one after another.
 class StepAdvisor {
 public:
-    /// \p onAnswer is called after each answer has been applied to \p state.
+    /// Applies each answer to \p state, then calls \p onAnswer.
     StepAdvisor(AdviceControl& service, PoolState& state, const Clock& clock, Metrics& metrics,
         std::function<void()> onAnswer);
     ~StepAdvisor();
-    /// Sends the next question, if there is one and none is open.
-    void pass();
+    /// Sends the next question if there is one and no other question is in flight.
+    void requestNext();
 
 private:
     AdviceControl& m_service;
@@ -26,7 +26,7 @@
     const Clock& m_clock;
     Metrics& m_metrics;
     std::function<void()> m_onAnswer;
-    bool m_open = false;
+    bool m_isRequestOpen = false;
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true); ///< false once destroyed
 };
 
--- a/src/include/damaskworks/table_follower.h
+++ b/src/include/damaskworks/table_follower.h
@@ -1,5 +1,5 @@
 /// \file
-/// Keeps up with the rows of one table: reads all, then follows the changes.
+/// Keeps a copy of one table's rows up to date: reads all rows, then follows the changes.
 #pragma once
 
 #include <damaskworks/clock.h>
@@ -15,18 +15,18 @@
 
 namespace damask::fleet {
 
-/// Settings of a follower.
+/// Settings of a TableFollower.
 struct FollowSettings {
     std::string table;
-    bool manyParts = false; ///< false: the rows are all in the part with the empty name
-    std::chrono::milliseconds gap { 0 }; ///< pause after changes, so that more come with one call
+    bool isPartitioned = false; ///< false: all rows are in the part with the empty name
+    std::chrono::milliseconds pauseAfterChanges { 0 }; ///< so that the next request returns several changes
 };
 
-/// Follows one table. Changes are handed on in order of version; when the history is gone all rows
-/// are read again and handed on as a whole.
+/// Follows one table and passes changes to its listeners in order of version. If the table no longer keeps
+/// the changes since the last version, the follower reads all rows again and passes them on as a whole.
 class TableFollower {
 public:
-    /// All rows, replacing everything known.
+    /// Gets all rows, which replace everything passed before.
     using ResetListener = std::function<void(const std::vector<TableRow>&)>;
     using ChangeListener = std::function<void(const TableRow&)>;
     /// Called after each batch of changes.
@@ -34,29 +34,33 @@
 
     TableFollower(event_base* base, SharedTable& table, const Clock& clock, Metrics& metrics,
         FollowSettings settings, std::uint64_t seed);
-    void listen(ResetListener onReset, ChangeListener onChange, BatchListener onBatch);
+    void setListeners(ResetListener onReset, ChangeListener onChange, BatchListener onBatch);
     void start();
-    void setGap(std::chrono::milliseconds gap) { m_settings.gap = gap; }
-    bool isLoaded() const { return m_loaded; }
-    /// Newest version covered.
+    void setPauseAfterChanges(std::chrono::milliseconds pauseAfterChanges)
+    {
+        m_settings.pauseAfterChanges = pauseAfterChanges;
+    }
+    bool isLoaded() const { return m_isLoaded; }
+    /// Version up to which all changes have been passed on.
     Version version() const { return m_version; }
     /// Time of the last answer.
     TimePoint lastContact() const { return m_lastContact; }
-    /// All that changed before this time has been handed on. Older than lastContact() where an answer
-    /// took long to arrive.
-    TimePoint freshAt() const { return m_freshAt; }
+    /// Time up to which all changes have been passed on. Earlier than lastContact() if an answer took long.
+    TimePoint currentAsOf() const { return m_currentAsOf; }
 
 private:
-    void load();
+    /// Reads all rows: the part with the empty name, then the named parts if the table has any.
+    void startLoad();
     void readPart(const std::string& part, const std::string& from);
-    void nextPart();
+    void readNextPart();
     void listParts(const std::string& after);
     void finishLoad();
     void follow();
-    void take(const TableRows& rows);
-    void fail(TableFailure failure, bool reload);
-    void succeed();
-    void resume(std::chrono::milliseconds delay);
+    void applyChanges(const TableRows& rows);
+    /// Schedules a retry with backoff, of the whole load if \p needsReload.
+    void onFailure(TableFailure failure, bool needsReload);
+    void onSuccess();
+    void scheduleNext(std::chrono::milliseconds delay);
 
     SharedTable& m_table;
     const Clock& m_clock;
@@ -67,16 +71,16 @@
     ResetListener m_onReset;
     ChangeListener m_onChange;
     BatchListener m_onBatch;
-    std::vector<TableRow> m_loading;
+    std::vector<TableRow> m_loadedRows;
     std::deque<std::string> m_partsToRead;
-    Version m_loadVersion = 0; ///< of the first answer of a load
+    Version m_loadVersion = 0; ///< version of the first answer of a load
     Version m_version = 0;
-    bool m_loaded = false;
-    bool m_reload = true;
+    bool m_isLoaded = false;
+    bool m_needsReload = true;
     int m_failures = 0;
     TimePoint m_lastContact {};
-    TimePoint m_freshAt {};
-    TimePoint m_loadBegan {};
+    TimePoint m_currentAsOf {};
+    TimePoint m_loadStartedAt {};
 };
 
 } // namespace damask::fleet
--- a/src/include/damaskworks/timed_table.h
+++ b/src/include/damaskworks/timed_table.h
@@ -1,5 +1,5 @@
 /// \file
-/// A table whose commits are given up as soon as their answer is overdue, and whose calls tell whether it
+/// Wraps a table: adapts the timeouts of commits to measured response times, and tracks whether the table
 /// can be reached.
 #pragma once
 
@@ -13,11 +13,11 @@
 
 namespace damask::fleet {
 
-/// Shortens the timeouts of commits to what earlier answers suggest. A commit that is given up counts as
-/// unknown, so its caller repeats it on the same conditions.
+/// Shortens the timeouts of commits according to the response times of earlier ones. A commit that times out
+/// has the outcome Unknown, so its caller repeats it with the same expectations.
 class TimedTable final : public SharedTable {
 public:
-    /// \p contact is kept up to date.
+    /// Updates \p contact after each call.
     TimedTable(
         std::unique_ptr<SharedTable> table, const Clock& clock, Metrics& metrics, TableContact& contact);
 
@@ -31,15 +31,16 @@
         TableCallback<TableRows> callback) override;
 
 private:
-    /// Takes the end of a call into the contact.
-    template <typename T> void note(const TableResult<T>& result);
-    template <typename T> TableCallback<T> noting(TableCallback<T> callback);
+    /// Updates the contact from the outcome of a call.
+    template <typename T> void recordOutcome(const TableResult<T>& result);
+    /// Returns a callback that records the outcome, then calls \p callback.
+    template <typename T> TableCallback<T> recordingOutcome(TableCallback<T> callback);
 
     std::unique_ptr<SharedTable> m_table;
     const Clock& m_clock;
     Metrics& m_metrics;
     TableContact& m_contact;
-    ResponseTimes m_commits;
+    ResponseTimes m_commitTimes;
 };
 
 } // namespace damask::fleet
--- a/src/libfleet/caller_service.cpp
+++ b/src/libfleet/caller_service.cpp
@@ -6,26 +6,27 @@
 namespace damask::fleet {
 namespace {
 
-/// Longest time for a request whose caller names none.
+/// Deadline of a request whose caller sets none.
 constexpr milliseconds defaultDeadline { 3000 };
-/// Left of a deadline for the answer's way back.
-constexpr milliseconds answerMargin { 150 };
-/// Longest wait for one transaction; a slow table answers within about 0.6 s.
-constexpr milliseconds longestAttempt { 900 };
-/// A count of waiting jobs may be this old, by the platform's terms.
-constexpr milliseconds oldestCount { 2000 };
-/// Below this an attempt is not worth starting.
-constexpr milliseconds shortestAttempt { 60 };
-constexpr milliseconds retryPause { 60 }; ///< grows with each attempt
-constexpr milliseconds longestRetryPause { 400 };
-/// Attempts that the table turned away before a submission is refused: one repetition catches a
-/// passing refusal, more would only make the refusal late.
-constexpr int refusedAttempts = 2;
+/// Part of the deadline that is left for the response to reach the caller.
+constexpr milliseconds responseMargin { 150 };
+/// Timeout of one transaction; a slow table answers within about 0.6 s.
+constexpr milliseconds maxAttemptTimeout { 900 };
+/// The platform's interface allows counts of queued jobs to be this old.
+constexpr milliseconds maxCountAge { 2000 };
+/// With less time left, the service makes no further attempt.
+constexpr milliseconds minAttemptTimeout { 60 };
+constexpr milliseconds retryBackoff { 60 }; ///< times the number of attempts so far
+constexpr milliseconds maxRetryBackoff { 400 };
+/// The service refuses a submission after the table has refused this many attempts. One retry covers a
+/// transient refusal; more would only delay the answer.
+constexpr int maxRefusedAttempts = 2;
 
 std::string errorBody(std::string_view text) { return "{\"error\":\"" + std::string(text) + "\"}"; }
 
 } // namespace
 
+/// A caller's request in progress.
 struct CallerService::Call {
     std::shared_ptr<HttpExchange> exchange;
     CallerAction action = CallerAction::Unsupported;
@@ -36,7 +37,7 @@
     JobSpec job;
     std::string part;
     int attempts = 0;
-    bool mayHaveCommitted = false;
+    bool mayHaveCommitted = false; ///< an attempt had an unknown outcome
     std::unique_ptr<Timer> timer;
 };
 
@@ -63,7 +64,7 @@
                 { "ms", std::to_string(std::chrono::duration_cast<milliseconds>(elapsed).count()) } });
     call->timer.reset();
     call->exchange->reply(std::move(response));
-    --m_active;
+    --m_activeRequests;
 }
 
 void CallerService::handle(std::shared_ptr<HttpExchange> exchange)
@@ -71,7 +72,7 @@
     auto call = std::make_shared<Call>();
     call->exchange = std::move(exchange);
     call->receivedAt = m_context.clock.now();
-    ++m_active;
+    ++m_activeRequests;
     const auto& request = call->exchange->request();
     if (!m_config)
         return reply(call, 503, errorBody("no configuration yet"), "no_config");
@@ -82,10 +83,10 @@
     call->queue = *queue;
     call->id = request.path.substr(queue->prefix.size());
     call->action = m_context.codec.action(request.method, call->id);
-    auto limit = m_context.codec.callerDeadline(request).value_or(defaultDeadline);
+    auto requestTimeout = m_context.codec.callerDeadline(request).value_or(defaultDeadline);
     if (queue->timeout.count() > 0)
-        limit = std::min(limit, queue->timeout);
-    call->deadline = call->receivedAt + std::max(limit - answerMargin, shortestAttempt);
+        requestTimeout = std::min(requestTimeout, queue->timeout);
+    call->deadline = call->receivedAt + std::max(requestTimeout - responseMargin, minAttemptTimeout);
     call->part = rows::jobPart(queue->name, call->id);
     switch (call->action) {
     case CallerAction::Submit:
@@ -97,10 +98,10 @@
     case CallerAction::CountPending:
         if (!m_directoryLoaded)
             return reply(call, 503, errorBody("jobs are not loaded yet"), "not_loaded");
-        if (m_context.clock.now() - m_context.directoryFreshAt() > oldestCount)
+        if (m_context.clock.now() - m_context.directoryCurrentAsOf() > maxCountAge)
             return reply(call, 503, errorBody("the count is out of date"), "stale");
         return reply(
-            call, 200, m_context.codec.encodePending(m_context.directory.pending(queue->name)), "count");
+            call, 200, m_context.codec.encodePending(m_context.directory.pendingJobs(queue->name)), "count");
     case CallerAction::Unsupported:
         return reply(call, 404, errorBody("no such job"), "unsupported");
     }
@@ -108,20 +109,21 @@
 
 bool CallerService::hasTimeLeft(const Call& call) const
 {
-    return m_context.clock.now() + shortestAttempt < call.deadline;
+    return m_context.clock.now() + minAttemptTimeout < call.deadline;
 }
 
 milliseconds CallerService::attemptTimeout(const Call& call) const
 {
-    const auto left = std::chrono::duration_cast<milliseconds>(call.deadline - m_context.clock.now());
-    return std::clamp(left, shortestAttempt, longestAttempt);
+    const auto timeLeft = std::chrono::duration_cast<milliseconds>(call.deadline - m_context.clock.now());
+    return std::clamp(timeLeft, minAttemptTimeout, maxAttemptTimeout);
 }
 
-void CallerService::retry(const CallPointer& call, void (CallerService::*step)(const CallPointer&))
+void CallerService::retry(const CallPointer& call, void (CallerService::*operation)(const CallPointer&))
 {
-    // The timer keeps the call alive; the answer or the next retry, both made later, drop it.
-    call->timer = std::make_unique<Timer>(m_context.base, [this, call, step] { (this->*step)(call); });
-    call->timer->startOnce(std::min(retryPause * call->attempts, longestRetryPause));
+    // The timer's callback owns a reference to the call. reply() or the next retry() releases it.
+    call->timer
+        = std::make_unique<Timer>(m_context.base, [this, call, operation] { (this->*operation)(call); });
+    call->timer->startOnce(std::min(retryBackoff * call->attempts, maxRetryBackoff));
 }
 
 void CallerService::submit(const CallPointer& call)
@@ -163,19 +165,19 @@
 {
     if (result)
         return reply(call, 200, "{}", "accepted");
-    // The row exists: written by an earlier attempt, or by the caller's earlier request.
+    // The row exists: an earlier attempt or an earlier request of the caller has written it.
     if (result.error() == TableFailure::Conflict)
         return reply(call, 200, "{}", "known");
     if (result.error() == TableFailure::Invalid)
         return reply(
             call, call->mayHaveCommitted ? 504 : 503, errorBody("the job can't be stored"), "invalid_row");
     call->mayHaveCommitted = call->mayHaveCommitted || result.error() == TableFailure::Unknown;
-    const bool lost = isLost(m_context.tableContact, m_context.clock.now());
-    const bool refused = !call->mayHaveCommitted && (call->attempts >= refusedAttempts || lost);
-    if (refused)
+    const bool isTableLost = isLost(m_context.tableContact, m_context.clock.now());
+    const bool isRefused = !call->mayHaveCommitted && (call->attempts >= maxRefusedAttempts || isTableLost);
+    if (isRefused)
         return reply(call, 503, errorBody("the table does not take the job"), "not_accepted");
-    // Another node can find out what became of the job; this one can't.
-    if (!hasTimeLeft(*call) || lost)
+    // This node can't find out whether the job was accepted; another node can.
+    if (!hasTimeLeft(*call) || isTableLost)
         return reply(call, call->mayHaveCommitted ? 504 : 503, errorBody("the job may have been accepted"),
             "outcome_unknown");
     retry(call, &CallerService::commitJob);
@@ -184,28 +186,28 @@
 void CallerService::readState(const CallPointer& call)
 {
     if (const auto* record = m_context.directory.find(call->id))
-        return reply(call, 200, m_context.codec.encodeState(record->shownState()), "state");
+        return reply(call, 200, m_context.codec.encodeState(record->visibleState()), "state");
     readRecord(call, [this, call](const std::optional<JobRecord>& record) {
         if (!record)
             return reply(call, 410, errorBody("no such job"), "absent");
-        reply(call, 200, m_context.codec.encodeState(record->shownState()), "state_read");
+        reply(call, 200, m_context.codec.encodeState(record->visibleState()), "state_read");
     });
 }
 
-void CallerService::readRecord(const CallPointer& call, std::function<void(std::optional<JobRecord>)> found)
+void CallerService::readRecord(const CallPointer& call, std::function<void(std::optional<JobRecord>)> onRead)
 {
     ++call->attempts;
     const auto key = rows::jobKey(call->id);
     m_context.table.read(std::string(jobTable), call->part, key, 1,
-        [this, call, key, found = std::move(found)](TableResult<TableRows> rows) {
+        [this, call, key, onRead = std::move(onRead)](TableResult<TableRows> rows) {
             if (!rows)
                 return reply(call, 503, errorBody("the table can't be read"), "table_unreachable");
             if (rows->rows.empty() || rows->rows.front().key != key)
-                return found(std::nullopt);
-            JobDirectory single;
-            single.apply(rows->rows.front());
-            const auto* record = single.find(call->id);
-            found(record ? std::optional(*record) : std::nullopt);
+                return onRead(std::nullopt);
+            JobDirectory singleJob;
+            singleJob.apply(rows->rows.front());
+            const auto* record = singleJob.find(call->id);
+            onRead(record ? std::optional(*record) : std::nullopt);
         });
 }
 
@@ -214,19 +216,19 @@
     if (const auto* record = m_context.directory.find(call->id)) {
         if (record->cancelled || isFinal(record->state))
             return reply(call, 200, "{}", "ended");
-        return commitCancel(call);
+        return commitCancellation(call);
     }
     readRecord(call, [this, call](const std::optional<JobRecord>& record) {
         if (!record)
             return reply(call, 410, errorBody("no such job"), "absent");
-        commitCancel(call);
+        commitCancellation(call);
     });
 }
 
-void CallerService::commitCancel(const CallPointer& call)
+void CallerService::commitCancellation(const CallPointer& call)
 {
     ++call->attempts;
-    // Setting the row again changes nothing, so a late copy of the transaction does no harm.
+    // The write is idempotent, so a delayed duplicate of the transaction does no harm.
     const TableTransaction transaction { call->part, {},
         { { std::string(jobTable), rows::cancelKey(call->id), "{}" } } };
     m_context.table.commit(transaction, attemptTimeout(*call), [this, call](TableResult<Version> result) {
@@ -234,7 +236,7 @@
             return reply(call, 200, "{}", "cancelled");
         if (!hasTimeLeft(*call))
             return reply(call, 504, errorBody("the job may have been cancelled"), "outcome_unknown");
-        retry(call, &CallerService::commitCancel);
+        retry(call, &CallerService::commitCancellation);
     });
 }
 
--- a/src/libfleet/caller_service_test.cpp
+++ b/src/libfleet/caller_service_test.cpp
@@ -1,4 +1,4 @@
-/// What callers are answered while the table can't be reached.
+/// Answers to callers while the table is unreachable, overloaded or slow.
 #include "fakes_test.h"
 
 #include <damaskworks/caller_service.h>
@@ -35,7 +35,7 @@
     HttpRequest m_request;
 };
 
-/// Takes every body for a job of one step.
+/// Decodes every body as a job with one step.
 class FakeCodec final : public Codec {
 public:
     CallerAction action(std::string_view, std::string_view) const override { return CallerAction::Submit; }
@@ -74,8 +74,8 @@
     ManualClock clock;
     Metrics metrics;
     TableContact contact;
-    FakeTable* fake = new FakeTable(loop.base()); ///< owned by table
-    TimedTable table { std::unique_ptr<SharedTable>(fake), clock, metrics, contact };
+    FakeTable* fakeTable = new FakeTable(loop.base()); ///< owned by table
+    TimedTable table { std::unique_ptr<SharedTable>(fakeTable), clock, metrics, contact };
     FakeCodec codec;
     JobDirectory directory;
     CallerService service { { loop.base(), clock, metrics, table, codec, directory,
@@ -105,7 +105,8 @@
 
     bool isStored(const std::string& id) const
     {
-        return fake->find(std::string(jobTable), rows::jobPart("quotes", id), rows::jobKey(id)) != nullptr;
+        return fakeTable->find(std::string(jobTable), rows::jobPart("quotes", id), rows::jobKey(id))
+            != nullptr;
     }
 };
 
@@ -113,7 +114,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(caller_service, CallerFixture)
 
-BOOST_AUTO_TEST_CASE(submissionWithoutHopeIsRefusedAtOnceAndNotStored)
+BOOST_AUTO_TEST_CASE(submissionIsRefusedAtOnceWhileTableIsLost)
 {
     for (int i = 0; i < 3; ++i)
         noteNoContact(contact);
@@ -123,62 +124,62 @@
     BOOST_TEST(!isStored("a1"));
     clock.advance(3s);
     BOOST_TEST(http::header(submit("a2")->answer->headers, "Retry-After").value_or("") == "2");
-    // One answer of the table, to whatever call, and callers are served again.
+    // After one answer of the table, to any call, the service accepts submissions again.
     noteContact(contact, clock.now());
     BOOST_TEST(submit("a3")->answer->status == 200);
     BOOST_TEST(isStored("a3"));
 }
 
-BOOST_AUTO_TEST_CASE(submissionThatMayBeStoredIsNeverRefused)
+BOOST_AUTO_TEST_CASE(submissionThatMayBeStoredIsAnsweredAsUnknown)
 {
-    // On a played day callers of a node that was cut off waited 2.8 s for this answer.
-    fake->faults.assign(20, CommitFault::Late);
+    // Callers of a node that had lost the table waited 2.8 s for this answer.
+    fakeTable->faults.assign(20, CommitFault::Delayed);
     auto exchange = std::make_shared<FakeExchange>("a1");
     service.handle(exchange);
-    BOOST_REQUIRE(loop.runUntil([&] { return fake->faults.size() <= 18; }, 10s));
+    BOOST_REQUIRE(loop.runUntil([&] { return fakeTable->faults.size() <= 18; }, 10s));
     BOOST_TEST(!exchange->answer);
     clock.advance(1500ms); // no call has been answered since
     BOOST_REQUIRE(loop.runUntil([&] { return exchange->answer.has_value(); }, 10s));
     BOOST_TEST(exchange->answer->status == 504);
-    BOOST_TEST(fake->applyLate() == 1);
+    BOOST_TEST(fakeTable->applyDelayed() == 1);
     BOOST_TEST(isStored("a1"));
-    // The caller asks again, and the job is still one.
-    fake->faults.clear();
+    // The caller repeats the submission; the table still holds one job.
+    fakeTable->faults.clear();
     noteContact(contact, clock.now());
     BOOST_TEST(submit("a1")->answer->status == 200);
-    BOOST_TEST(fake->rows(std::string(jobTable)).size() == 1u);
+    BOOST_TEST(fakeTable->rows(std::string(jobTable)).size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(overloadOfTheTableIsNoLossOfIt)
+BOOST_AUTO_TEST_CASE(overloadedTableStillCountsAsReachable)
 {
-    // On a played day all nodes started again at once, and their reads came to more than the table takes.
-    fake->faults.assign(4, CommitFault::Overloaded);
+    // When all nodes restarted at once, their reads overloaded the table.
+    fakeTable->faults.assign(4, CommitFault::Overloaded);
     BOOST_TEST(submit("a1")->answer->status == 503);
     BOOST_TEST(submit("a2")->answer->status == 503);
     BOOST_TEST(contact.failures == 0);
     BOOST_TEST(looksReachable(contact, clock.now()));
 }
 
-BOOST_AUTO_TEST_CASE(tableThatIsSlowOrLosesAnswersIsNotTakenForALostOne)
+BOOST_AUTO_TEST_CASE(slowTableOrLostAnswersStillCountAsReachable)
 {
-    // On a played day a third of the answers to writes were lost for 4.5 s: all nodes left the rotation by
-    // turns and refused callers, though the table took every job.
-    for (const auto fault : { CommitFault::Late, CommitFault::Lost }) {
-        fake->faults.assign(3, fault);
-        int ended = 0;
+    // When a third of the answers to writes were lost for 4.5 s, all nodes in turn became unready and refused
+    // callers, although the table accepted every job.
+    for (const auto fault : { CommitFault::Delayed, CommitFault::AnswerLost }) {
+        fakeTable->faults.assign(3, fault);
+        int answeredCommits = 0;
         for (int i = 0; i < 3; ++i)
-            table.commit({ "part", {}, {} }, 900ms, [&](const TableResult<Version>&) { ++ended; });
+            table.commit({ "part", {}, {} }, 900ms, [&](const TableResult<Version>&) { ++answeredCommits; });
         clock.advance(500ms);
-        BOOST_REQUIRE(loop.runUntil([&] { return ended == 3; }, 10s));
+        BOOST_REQUIRE(loop.runUntil([&] { return answeredCommits == 3; }, 10s));
         BOOST_TEST(looksReachable(contact, clock.now()));
         BOOST_TEST(!isLost(contact, clock.now()));
     }
     BOOST_TEST(submit("a1")->answer->status == 200);
 }
 
-BOOST_AUTO_TEST_CASE(oneLostAnswerIsRepeated)
+BOOST_AUTO_TEST_CASE(submissionIsRetriedAfterLostAnswer)
 {
-    fake->faults = { CommitFault::Lost };
+    fakeTable->faults = { CommitFault::AnswerLost };
     BOOST_TEST(submit("a1")->answer->status == 200);
     BOOST_TEST(isStored("a1"));
 }
--- a/src/libfleet/fakes_test.h
+++ b/src/libfleet/fakes_test.h
@@ -1,6 +1,5 @@
 /// \file
-/// The platform's services in memory, for tests: a table with parts and versions whose answers can
-/// fail, and machines that do what they are told.
+/// In-memory table for tests, with parts, versions and injected faults.
 #pragma once
 
 #include <damaskworks/adapter.h>
@@ -13,27 +12,27 @@
 
 namespace damask::fleet {
 
-/// What happens to a commit.
+/// Fault injected into a commit.
 enum class CommitFault {
     None,
-    Refused, ///< nothing is done, and the table says so
-    Lost, ///< done, but not answered
-    Late, ///< not answered, and done only when applyLate() is called
-    Overloaded, ///< nothing is done, as there are too many calls
+    Refused, ///< not applied; the answer is TableFailure::NotDone
+    AnswerLost, ///< applied; the answer is TableFailure::Unknown
+    Delayed, ///< the answer is TableFailure::Unknown; applyDelayed() applies the commit later
+    Overloaded, ///< not applied; the answer is TableFailure::Overloaded
 };
 
-/// Table in memory. Answers come on the next turn of the loop.
+/// In-memory table. It answers on the next iteration of the loop.
 class FakeTable final : public SharedTable {
 public:
     explicit FakeTable(event_base* base)
-        : m_timer(base, [this] { answer(); })
+        : m_timer(base, [this] { sendAnswers(); })
     {
     }
 
-    std::deque<CommitFault> faults; ///< of the next commits; none when empty
-    std::size_t largestTransaction = 0;
-    int failedReads = 0; ///< of the next reads, which the table turns away
-    int mostOpenReads = 0;
+    std::deque<CommitFault> faults; ///< for the next commits; empty: no fault
+    std::size_t largestTransaction = 0; ///< expectations and writes
+    int readsToFail = 0; ///< number of next reads to refuse
+    int maxOpenReads = 0; ///< highest number of concurrent reads so far
 
     void commit(const TableTransaction& transaction, std::chrono::milliseconds,
         TableCallback<Version> callback) override
@@ -41,27 +40,27 @@
         const auto fault = faults.empty() ? CommitFault::None : faults.front();
         if (!faults.empty())
             faults.pop_front();
-        if (fault == CommitFault::Late) {
-            m_late.push_back(transaction);
-            return later([callback] { callback(tl::make_unexpected(TableFailure::Unknown)); });
+        if (fault == CommitFault::Delayed) {
+            m_delayed.push_back(transaction);
+            return postAnswer([callback] { callback(tl::make_unexpected(TableFailure::Unknown)); });
         }
         if (fault == CommitFault::Refused)
-            return later([callback] { callback(tl::make_unexpected(TableFailure::NotDone)); });
+            return postAnswer([callback] { callback(tl::make_unexpected(TableFailure::NotDone)); });
         if (fault == CommitFault::Overloaded)
-            return later([callback] { callback(tl::make_unexpected(TableFailure::Overloaded)); });
+            return postAnswer([callback] { callback(tl::make_unexpected(TableFailure::Overloaded)); });
         auto result = apply(transaction);
-        if (fault == CommitFault::Lost)
+        if (fault == CommitFault::AnswerLost)
             result = tl::make_unexpected(TableFailure::Unknown);
-        later([callback, result] { callback(result); });
+        postAnswer([callback, result] { callback(result); });
     }
 
     void read(const std::string& table, const std::string& part, const std::string& from, int limit,
         TableCallback<TableRows> callback) override
     {
-        mostOpenReads = std::max(mostOpenReads, ++m_openReads);
-        if (failedReads > 0) {
-            --failedReads;
-            return later([this, callback] {
+        maxOpenReads = std::max(maxOpenReads, ++m_openReads);
+        if (readsToFail > 0) {
+            --readsToFail;
+            return postAnswer([this, callback] {
                 --m_openReads;
                 callback(tl::make_unexpected(TableFailure::NotDone));
             });
@@ -75,7 +74,7 @@
                 break;
             out.rows.push_back(row);
         }
-        later([this, callback, out] {
+        postAnswer([this, callback, out] {
             --m_openReads;
             callback(out);
         });
@@ -89,18 +88,18 @@
             if (std::get<0>(key) == table)
                 names.insert(row.part);
         }
-        later([callback, names] { callback(std::vector<std::string>(names.begin(), names.end())); });
+        postAnswer([callback, names] { callback(std::vector<std::string>(names.begin(), names.end())); });
     }
 
     void follow(const std::string&, Version, std::chrono::milliseconds, TableCallback<TableRows>) override { }
 
-    /// Carries out the late transactions whose expectations still hold; returns how many did.
-    int applyLate()
+    /// Applies the delayed transactions whose expectations still hold; returns their number.
+    int applyDelayed()
     {
         int done = 0;
-        for (const auto& transaction : m_late)
+        for (const auto& transaction : m_delayed)
             done += apply(transaction).has_value();
-        m_late.clear();
+        m_delayed.clear();
         return done;
     }
 
@@ -143,13 +142,13 @@
         return m_version;
     }
 
-    void later(std::function<void()> callback)
+    void postAnswer(std::function<void()> callback)
     {
         m_answers.push_back(std::move(callback));
         m_timer.startOnce(std::chrono::microseconds(1));
     }
 
-    void answer()
+    void sendAnswers()
     {
         auto answers = std::exchange(m_answers, {});
         for (auto& callback : answers)
@@ -159,7 +158,7 @@
     Version m_version = 0;
     int m_openReads = 0;
     std::map<std::tuple<std::string, std::string, std::string>, TableRow> m_rows;
-    std::vector<TableTransaction> m_late;
+    std::vector<TableTransaction> m_delayed;
     std::deque<std::function<void()>> m_answers;
     Timer m_timer;
 };
--- a/src/libfleet/fleet_node.cpp
+++ b/src/libfleet/fleet_node.cpp
@@ -10,27 +10,27 @@
 
 using std::chrono::milliseconds;
 
-/// Pause between calls for changes on a node that acts on them at once.
-constexpr milliseconds promptGap { 25 };
-/// Pause on a node that only shows them; jobs' states are seen this late at most.
-constexpr milliseconds relaxedGap { 150 };
-/// Leases and registrations change every few hundred milliseconds; nothing is lost by reading
-/// several changes together.
-constexpr milliseconds slowGap { 250 };
-/// A holder that has not heard of new jobs and cancellations for this long starts nothing; calls for
-/// changes return within 1 s, and a cancelled job's tasks must not start 3 s later.
-constexpr milliseconds staleJobs { 2000 };
+/// Pause between requests for changes on a node that acts on the changes.
+constexpr milliseconds holderPause { 25 };
+/// Pause on a node that only reports job states to callers; it adds at most this delay to a state.
+constexpr milliseconds observerPause { 150 };
+/// Pause for leases and VM registrations, which change every few hundred milliseconds. Reading several
+/// changes at once does no harm.
+constexpr milliseconds controlTablePause { 250 };
+/// A holder starts no tasks if the job table has not answered for this long. Requests for changes return
+/// within 1 s, and a cancelled job's tasks must not start 3 s after the cancellation.
+constexpr milliseconds maxDirectoryAge { 2000 };
 constexpr milliseconds tickInterval { 250 };
-/// A node without an answer from the table for this long takes no new connections.
-constexpr milliseconds readyContact { 2500 };
-/// A node without an answer from the table for this long takes no leases.
-constexpr milliseconds electionContact { 1500 };
-/// The balancer asks once a second and takes a node out after two misses; one second more for its
-/// own delay.
-constexpr milliseconds balancerNotices { 2300 };
-/// Left of the time before a kill, for the exit itself.
+/// A node without an answer from the table for this long is not ready for callers.
+constexpr milliseconds maxContactAgeToServe { 2500 };
+/// A node without an answer from the table for this long acquires no leases.
+constexpr milliseconds maxContactAgeToAcquire { 1500 };
+/// Time until the balancer sends no more callers to a stopping node. The balancer probes readiness once a
+/// second and removes a node after two failed probes; the rest allows for its own delay.
+constexpr milliseconds balancerRemovalTime { 2300 };
+/// Part of the time before SIGKILL that is left for the exit itself.
 constexpr milliseconds exitMargin { 500 };
-constexpr milliseconds stopCheck { 50 };
+constexpr milliseconds stopCheckInterval { 50 };
 
 Adapter openAdapter(const AdapterPlugin& plugin, Loop& loop, const NodeSettings& settings, const Clock& clock,
     Metrics& metrics, TableContact& contact)
@@ -52,20 +52,20 @@
     , m_session(m_settings.node + "-" + std::to_string(seed))
     , m_adapter(openAdapter(plugin, loop, m_settings, clock, m_metrics, m_tableContact))
     , m_callers({ loop.base(), clock, m_metrics, *m_adapter.table, *m_adapter.codec, m_directory,
-          [this] { return m_jobRows.freshAt(); }, m_tableContact })
+          [this] { return m_jobRows.currentAsOf(); }, m_tableContact })
     , m_operatorRows(loop.base(), *m_adapter.table, clock, m_metrics,
           { m_adapter.codec->operatorTable(), false, milliseconds(0) }, seed + 1)
     , m_controlRows(loop.base(), *m_adapter.table, clock, m_metrics,
-          { std::string(controlTable), true, slowGap }, seed + 2)
-    , m_jobRows(loop.base(), *m_adapter.table, clock, m_metrics, { std::string(jobTable), true, relaxedGap },
-          seed + 3)
+          { std::string(controlTable), true, controlTablePause }, seed + 2)
+    , m_jobRows(loop.base(), *m_adapter.table, clock, m_metrics,
+          { std::string(jobTable), true, observerPause }, seed + 3)
     , m_vmRows(loop.base(), *m_adapter.table, clock, m_metrics,
-          { m_adapter.codec->vmTable(), false, slowGap }, seed + 4)
+          { m_adapter.codec->vmTable(), false, controlTablePause }, seed + 4)
     , m_election(loop.base(), *m_adapter.table, clock, m_settings.node, m_session,
-          NodeStrength { m_settings.cpuShare, m_settings.linkMbps }, seed + 5, m_leaseLimits,
-          { [this] { return canServe() && hasContact(electionContact) && m_vmRows.isLoaded(); },
+          NodeCapacity { m_settings.cpuShare, m_settings.linkMbps }, seed + 5, m_leaseTiming,
+          { [this] { return canServe() && hasRecentContact(maxContactAgeToAcquire) && m_vmRows.isLoaded(); },
               [this] { return m_holders.size() + (m_coordinator ? 1 : 0); },
-              [this](const std::string& pool, const TakenLease& lease) { onLeaseTaken(pool, lease); } })
+              [this](const std::string& pool, const AcquiredLease& lease) { onLeaseAcquired(pool, lease); } })
     , m_callerServer(loop.base(), {},
           [this](std::shared_ptr<HttpExchange> exchange) { m_callers.handle(std::move(exchange)); })
     , m_readyServer(loop.base(), {},
@@ -90,33 +90,33 @@
             return tl::make_unexpected(NodeError { http::toString(address) + ": " + port.error().detail });
         return {};
     };
-    if (auto done = listen(m_callerServer, m_settings.callers); !done)
-        return done;
-    if (auto done = listen(m_readyServer, m_settings.readiness); !done)
-        return done;
+    if (auto result = listen(m_callerServer, m_settings.callers); !result)
+        return result;
+    if (auto result = listen(m_readyServer, m_settings.readiness); !result)
+        return result;
     if (m_options.metricsPort > 0) {
-        if (auto done = listen(m_metricsServer, { m_settings.ip, m_options.metricsPort }); !done)
-            return done;
+        if (auto result = listen(m_metricsServer, { m_settings.ip, m_options.metricsPort }); !result)
+            return result;
     }
     logEvent(LogLevel::Info, "started",
         { { "callers", http::toString(m_settings.callers) }, { "data_centre", m_settings.dataCentre },
             { "table", http::toString(m_settings.table) }, { "session", m_session } });
-    followAll();
+    startFollowers();
     m_tickTimer.startPeriodic(tickInterval);
     return {};
 }
 
 void FleetNode::run() { m_loop.run(); }
 
-void FleetNode::followAll()
+void FleetNode::startFollowers()
 {
-    m_operatorRows.listen(
+    m_operatorRows.setListeners(
         [this](const std::vector<TableRow>& rows) {
             for (const auto& row : rows)
                 applyOperatorRow(row);
         },
         [this](const TableRow& row) { applyOperatorRow(row); }, [] {});
-    m_controlRows.listen(
+    m_controlRows.setListeners(
         [this](const std::vector<TableRow>& rows) {
             m_election.reset(rows);
             m_fleetRows.reset(rows);
@@ -125,21 +125,21 @@
             m_election.applyRow(row);
             m_fleetRows.apply(row);
         },
-        [this] { applyControl(); });
-    m_directory.listen([this](const std::string& id, const JobRecord& record) {
+        [this] { onControlRowsApplied(); });
+    m_directory.setListener([this](const std::string& id, const JobRecord& record) {
         const auto holder = m_holders.find(record.pool);
         if (holder != m_holders.end())
             holder->second->applyJob(id, record);
     });
-    m_jobRows.listen([this](const std::vector<TableRow>& rows) { m_directory.reset(rows); },
+    m_jobRows.setListeners([this](const std::vector<TableRow>& rows) { m_directory.reset(rows); },
         [this](const TableRow& row) { m_directory.apply(row); },
         [this] {
             m_callers.setDirectoryLoaded(m_jobRows.isLoaded());
             updatePools();
-            beginHolders();
+            beginReadyHolders();
         });
-    m_vmRows.listen([this](const std::vector<TableRow>& rows) { applyVmReset(rows); },
-        [this](const TableRow& row) { applyVmRow(row); }, [this] { beginHolders(); });
+    m_vmRows.setListeners([this](const std::vector<TableRow>& rows) { applyVmReset(rows); },
+        [this](const TableRow& row) { applyVmRow(row); }, [this] { beginReadyHolders(); });
     for (auto* follower : { &m_operatorRows, &m_controlRows, &m_jobRows, &m_vmRows })
         follower->start();
 }
@@ -167,13 +167,13 @@
         m_coordinator->applyWave(*wave);
 }
 
-void FleetNode::applyControl()
+void FleetNode::onControlRowsApplied()
 {
     for (auto& [pool, holder] : m_holders)
-        holder->setEvacuations(m_fleetRows.emptying());
-    beginHolders();
+        holder->setEvacuations(m_fleetRows.evacuations());
+    beginReadyHolders();
     if (m_coordinator)
-        m_coordinator->pass();
+        m_coordinator->reconcile();
     m_election.check();
 }
 
@@ -185,7 +185,7 @@
         return;
     }
     if (m_config && config->version <= m_config->version)
-        return; // a slow answer must not bring an older one back
+        return; // a delayed answer must not restore an older configuration
     m_config = std::make_shared<const FleetConfig>(std::move(*config));
     logEvent(LogLevel::Info, "config_applied",
         { { "version", std::to_string(m_config->version) },
@@ -202,7 +202,7 @@
 {
     if (!m_config)
         return;
-    auto pools = m_directory.poolsWithWork();
+    auto pools = m_directory.poolsWithUnfinishedJobs();
     pools.insert(std::string(coordinatorPool));
     for (const auto& queue : m_config->queues)
         pools.insert(queue.pool);
@@ -251,49 +251,50 @@
         present.insert(row.key);
         applyVmRow(row);
     }
-    std::vector<std::string> gone;
+    std::vector<std::string> unregistered;
     for (const auto& [id, vm] : m_vms) {
         if (!present.contains(id))
-            gone.push_back(id);
+            unregistered.push_back(id);
     }
-    for (const auto& id : gone)
+    for (const auto& id : unregistered)
         removeVm(id);
 }
 
-void FleetNode::onLeaseTaken(const std::string& pool, const TakenLease& lease)
+void FleetNode::onLeaseAcquired(const std::string& pool, const AcquiredLease& lease)
 {
     if (pool == coordinatorPool) {
         CoordinatorContext context { m_loop.base(), m_clock, m_metrics, *m_adapter.table, *m_adapter.machines,
             *m_adapter.codec, m_fleetRows };
         m_coordinator = std::make_unique<MachineCoordinator>(
-            context, lease, m_leaseLimits, [this] { m_coordinatorEnded = true; });
-        m_controlRows.setGap(promptGap);
-        return beginHolders();
+            context, lease, m_leaseTiming, [this] { m_coordinatorEnded = true; });
+        m_controlRows.setPauseAfterChanges(holderPause);
+        return beginReadyHolders();
     }
-    auto jobsFresh = [this] { return m_clock.now() - m_jobRows.lastContact() < staleJobs; };
+    auto isDirectoryFresh = [this] { return m_clock.now() - m_jobRows.lastContact() < maxDirectoryAge; };
     HolderContext context { m_loop.base(), m_clock, m_metrics, *m_adapter.table, *m_adapter.endpoints,
-        *m_adapter.machines, *m_adapter.advice, m_directory, jobsFresh };
+        *m_adapter.machines, *m_adapter.advice, m_directory, isDirectoryFresh };
     m_holders[pool] = std::make_unique<PoolHolder>(
-        context, pool, lease, m_leaseLimits, m_settings.maxLease, [this] { beginHolders(); },
+        context, pool, lease, m_leaseTiming, m_settings.maxLease, [this] { beginReadyHolders(); },
         [this, pool] { m_endedHolders.push_back(pool); });
-    m_jobRows.setGap(promptGap);
-    beginHolders();
+    m_jobRows.setPauseAfterChanges(holderPause);
+    beginReadyHolders();
 }
 
-void FleetNode::beginHolders()
+void FleetNode::beginReadyHolders()
 {
     if (!m_config)
         return;
     for (auto& [pool, holder] : m_holders) {
-        const bool caughtUp
-            = m_jobRows.version() >= holder->takenAt() && m_vmRows.version() >= holder->takenAt();
-        if (holder->hasBegun() || !holder->isRead() || !caughtUp
-            || m_controlRows.version() < holder->takenAt())
+        const bool isCaughtUp = m_jobRows.version() >= holder->acquiredVersion()
+            && m_vmRows.version() >= holder->acquiredVersion();
+        if (holder->hasBegun() || !holder->isProgressLoaded() || !isCaughtUp
+            || m_controlRows.version() < holder->acquiredVersion())
             continue;
-        holder->setEvacuations(m_fleetRows.emptying());
+        holder->setEvacuations(m_fleetRows.evacuations());
         holder->begin(*m_config, m_vms);
     }
-    if (m_coordinator && !m_coordinator->hasBegun() && m_controlRows.version() >= m_coordinator->takenAt())
+    if (m_coordinator && !m_coordinator->hasBegun()
+        && m_controlRows.version() >= m_coordinator->acquiredVersion())
         m_coordinator->begin(*m_config, m_waves);
 }
 
@@ -305,21 +306,21 @@
     if (m_coordinatorEnded) {
         m_coordinator.reset();
         m_coordinatorEnded = false;
-        m_controlRows.setGap(slowGap);
+        m_controlRows.setPauseAfterChanges(controlTablePause);
     }
     if (m_holders.empty())
-        m_jobRows.setGap(relaxedGap);
+        m_jobRows.setPauseAfterChanges(observerPause);
 }
 
-bool FleetNode::hasContact(milliseconds within) const
+bool FleetNode::hasRecentContact(milliseconds maxAge) const
 {
     const auto now = m_clock.now();
-    return now - m_jobRows.lastContact() < within && now - m_controlRows.lastContact() < within;
+    return now - m_jobRows.lastContact() < maxAge && now - m_controlRows.lastContact() < maxAge;
 }
 
 bool FleetNode::canServe() const
 {
-    return !m_stopping && m_config && m_jobRows.isLoaded() && hasContact(readyContact);
+    return !m_stopping && m_config && m_jobRows.isLoaded() && hasRecentContact(maxContactAgeToServe);
 }
 
 bool FleetNode::isReady() const { return canServe() && looksReachable(m_tableContact, m_clock.now()); }
@@ -367,33 +368,33 @@
     if (m_stopping)
         return;
     m_stopping = true;
-    m_stopBegan = m_clock.now();
+    m_stopStartedAt = m_clock.now();
     logEvent(LogLevel::Info, "stopping",
         { { "pools", std::to_string(m_holders.size()) },
-            { "requests", std::to_string(m_callers.active()) } });
+            { "requests", std::to_string(m_callers.activeRequests()) } });
     for (auto& [pool, holder] : m_holders)
         holder->release();
     if (m_coordinator)
         m_coordinator->release();
     m_callerServer.startDraining();
-    m_stopTimer.startPeriodic(stopCheck);
+    m_stopTimer.startPeriodic(stopCheckInterval);
 }
 
 void FleetNode::continueStop()
 {
     dropEndedHolders();
-    const auto elapsed = m_clock.now() - m_stopBegan;
-    const bool outOfRotation = elapsed >= balancerNotices;
-    if (outOfRotation) {
+    const auto elapsed = m_clock.now() - m_stopStartedAt;
+    const bool isOutOfRotation = elapsed >= balancerRemovalTime;
+    if (isOutOfRotation) {
         m_callerServer.stopAccepting();
-        if (m_callers.active() == 0)
+        if (m_callers.activeRequests() == 0)
             m_callerServer.closeIdle();
     }
-    const bool idle
-        = m_callers.active() == 0 && !m_callerServer.isSending() && m_holders.empty() && !m_coordinator;
-    if (!(outOfRotation && idle) && elapsed < m_settings.stopGrace - exitMargin)
+    const bool idle = m_callers.activeRequests() == 0 && !m_callerServer.isSending() && m_holders.empty()
+        && !m_coordinator;
+    if (!(isOutOfRotation && idle) && elapsed < m_settings.stopGrace - exitMargin)
         return;
-    logEvent(LogLevel::Info, "stopped", { { "requests_cut", std::to_string(m_callers.active()) } });
+    logEvent(LogLevel::Info, "stopped", { { "requests_cut", std::to_string(m_callers.activeRequests()) } });
     m_loop.stop();
 }
 
--- a/src/libfleet/fleet_rows.cpp
+++ b/src/libfleet/fleet_rows.cpp
@@ -60,12 +60,12 @@
     if (row.key.starts_with(machinePrefix)) {
         const auto machine = row.key.substr(machinePrefix.size());
         m_tasks.erase(machine);
-        m_emptying.erase(machine);
+        m_evacuations.erase(machine);
         const auto task = row.deleted ? std::nullopt : decodeTask(row.value);
         if (!task)
             return;
         m_tasks.emplace(machine, *task);
-        m_emptying.emplace(machine, task->id);
+        m_evacuations.emplace(machine, task->id);
         return;
     }
     if (row.key.starts_with(wavePrefix)) {
--- a/src/libfleet/fleet_rows_pvt.h
+++ b/src/libfleet/fleet_rows_pvt.h
@@ -1,5 +1,5 @@
 /// \file
-/// Keys and texts of the coordinator's rows.
+/// Keys and encoding of the coordinator's rows in the control table.
 #pragma once
 
 #include <damaskworks/machine_coordinator.h>
--- a/src/libfleet/job_directory.cpp
+++ b/src/libfleet/job_directory.cpp
@@ -7,7 +7,7 @@
 namespace damask::fleet {
 namespace {
 
-constexpr std::size_t kindLength = 2; // "j/", "c/" or "s/"
+constexpr std::size_t keyPrefixLength = 2; // "j/", "c/" or "s/"
 
 } // namespace
 
@@ -15,7 +15,7 @@
 
 std::string jobPart(std::string_view queue, std::string_view job)
 {
-    // Two bits of the id's first digit give four parts a queue.
+    // Two bits of the id's first hexadecimal digit select one of the queue's four parts.
     const char digit = job.empty() ? '0' : job.front();
     const int value = digit <= '9' ? digit - '0' : (digit | 0x20) - 'a' + 10;
     return "queue/" + std::string(queue) + "/" + std::to_string(value & 3);
@@ -28,20 +28,20 @@
 
 } // namespace rows
 
-JobState JobRecord::shownState() const
+JobState JobRecord::visibleState() const
 {
     if (cancelled && state != JobState::Completed && state != JobState::Failed)
         return JobState::Cancelled;
     return state;
 }
 
-void JobDirectory::count(const JobRecord& record, int amount)
+void JobDirectory::updateCounts(const JobRecord& record, int amount)
 {
     if (!record.isAccepted())
         return;
-    if (record.shownState() == JobState::Queued)
+    if (record.visibleState() == JobState::Queued)
         m_pending[record.queue] += static_cast<std::size_t>(amount);
-    // A cancelled job's tasks still have to be stopped, until its holder has recorded its end.
+    // A cancelled job is unfinished until its holder has stopped its tasks and recorded its end.
     if (!isFinal(record.state))
         m_unfinished[record.pool] += static_cast<std::size_t>(amount);
 }
@@ -55,7 +55,7 @@
             logEvent(LogLevel::Error, "job_row_unreadable", { { "key", row.key } });
             return;
         }
-        record.text = row.value;
+        record.encodedJob = row.value;
         record.queue = job->queue;
         record.pool = job->pool;
         record.version = row.version;
@@ -65,7 +65,7 @@
         record.cancelled = true;
         return;
     case 's':
-        record.begun = true;
+        record.hasStateRow = true;
         record.state = stateOf(row.value);
         return;
     default:
@@ -75,24 +75,24 @@
 
 void JobDirectory::apply(const TableRow& row)
 {
-    if (row.key.size() <= kindLength)
+    if (row.key.size() <= keyPrefixLength)
         return;
-    const auto id = row.key.substr(kindLength);
+    const auto id = row.key.substr(keyPrefixLength);
     if (row.deleted) {
-        // The rows of a job are deleted together, long after its end.
+        // All rows of a job are deleted together, long after its end.
         auto found = m_records.find(id);
         if (found == m_records.end())
             return;
-        count(found->second, -1);
+        updateCounts(found->second, -1);
         m_records.erase(found);
         return;
     }
     auto& record = m_records[id];
-    count(record, -1);
+    updateCounts(record, -1);
     applyTo(record, row);
-    count(record, 1);
-    const bool news = row.key.front() != 's';
-    if (news && record.isAccepted() && m_listener)
+    updateCounts(record, 1);
+    const bool isFromCaller = row.key.front() != 's';
+    if (isFromCaller && record.isAccepted() && m_listener)
         m_listener(id, record);
 }
 
@@ -101,7 +101,7 @@
     m_records.clear();
     m_pending.clear();
     m_unfinished.clear();
-    // Rows of one job come in any order, so listeners are told once all are in.
+    // The rows of a job come in any order, so the listener is called only after all rows are applied.
     const auto listener = std::exchange(m_listener, nullptr);
     for (const auto& row : rows)
         apply(row);
@@ -120,13 +120,13 @@
     return found == m_records.end() || !found->second.isAccepted() ? nullptr : &found->second;
 }
 
-std::size_t JobDirectory::pending(std::string_view queue) const
+std::size_t JobDirectory::pendingJobs(std::string_view queue) const
 {
     auto found = m_pending.find(queue);
     return found == m_pending.end() ? 0 : found->second;
 }
 
-std::set<std::string> JobDirectory::poolsWithWork() const
+std::set<std::string> JobDirectory::poolsWithUnfinishedJobs() const
 {
     std::set<std::string> out;
     for (const auto& [pool, jobs] : m_unfinished) {
--- a/src/libfleet/job_progress.cpp
+++ b/src/libfleet/job_progress.cpp
@@ -4,8 +4,8 @@
 namespace damask::fleet {
 namespace {
 
-constexpr int rowsPerRead = 500;
-constexpr std::chrono::milliseconds retryPause { 100 };
+constexpr int rowsPerPage = 500;
+constexpr std::chrono::milliseconds retryDelay { 100 };
 
 } // namespace
 
@@ -36,7 +36,7 @@
 
 void ProgressReader::read()
 {
-    m_table.read(std::string(progressTable), m_part, m_from, rowsPerRead,
+    m_table.read(std::string(progressTable), m_part, m_nextKey, rowsPerPage,
         [this, alive = m_alive](const TableResult<TableRows>& rows) {
             if (*alive)
                 onRows(rows);
@@ -47,13 +47,13 @@
 {
     if (!rows) {
         m_metrics.count("progress_read_failures_total");
-        return m_timer.startOnce(retryPause);
+        return m_timer.startOnce(retryDelay);
     }
     for (const auto& row : rows->rows)
         m_rows.insert_or_assign(row.key, row.value);
     if (!rows->hasMore || rows->rows.empty())
         return m_onRead(std::move(m_rows));
-    m_from = rows->rows.back().key + '\x01'; // the range begins with the key given
+    m_nextKey = rows->rows.back().key + '\x01'; // a read includes its first key
     read();
 }
 
--- a/src/libfleet/job_progress_test.cpp
+++ b/src/libfleet/job_progress_test.cpp
@@ -1,4 +1,4 @@
-/// What is written of a job's progress, and how a new holder reads it.
+/// Rows that record a job's progress, and how a new holder reads them.
 #include "fakes_test.h"
 
 #include <damaskworks/job_directory.h>
@@ -23,10 +23,10 @@
 
 BOOST_AUTO_TEST_SUITE(job_progress)
 
-BOOST_AUTO_TEST_CASE(endsOfTasksWriteNothingThatEveryNodeReads)
+BOOST_AUTO_TEST_CASE(taskProgressIsWrittenOnlyToTheProgressTable)
 {
-    // At a turn's peak the rows of ended tasks filled the links of the weakest nodes, whose callers then
-    // saw jobs end half a second late.
+    // Every node follows the job table. When task completions were written there, peak load saturated the
+    // links of the smallest nodes, and their callers saw jobs end half a second late.
     auto job = entry(JobState::Running);
     std::vector<TableWrite> writes;
     appendProgress(job, writes);
@@ -39,7 +39,7 @@
     BOOST_TEST(writes[0].table == progressTable);
 }
 
-BOOST_AUTO_TEST_CASE(endOfAJobRemovesItsProgress)
+BOOST_AUTO_TEST_CASE(endOfJobDeletesItsProgressRow)
 {
     auto job = entry(JobState::Completed);
     job.begun = true;
@@ -48,14 +48,14 @@
     BOOST_REQUIRE(writes.size() == 2u);
     BOOST_TEST((stateOf(writes[0].value.value_or("")) == JobState::Completed));
     BOOST_TEST(!writes[1].value.has_value());
-    // A job that was cancelled before it began has none.
+    // A job cancelled before it began has no progress row.
     auto waiting = entry(JobState::Cancelled);
     writes.clear();
     appendProgress(waiting, writes);
     BOOST_TEST(writes.size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(newHolderReadsAllPagesAndAsksAgainAfterAFailure)
+BOOST_AUTO_TEST_CASE(progressReaderReadsAllPagesAndRetriesAfterFailure)
 {
     constexpr int jobs = 1203;
     Loop loop;
@@ -70,7 +70,7 @@
         table.commit(transaction, std::chrono::seconds(1), [&](const auto&) { --left; });
     }
     BOOST_REQUIRE(loop.runUntil([&] { return left == 0; }, std::chrono::seconds(10)));
-    table.failedReads = 1;
+    table.readsToFail = 1;
     ProgressReader::Rows read;
     ProgressReader reader(
         loop.base(), table, metrics, "pricing", [&](ProgressReader::Rows rows) { read = std::move(rows); });
--- a/src/libfleet/machine_coordinator.cpp
+++ b/src/libfleet/machine_coordinator.cpp
@@ -8,25 +8,25 @@
 namespace damask::fleet {
 namespace {
 
-constexpr milliseconds passInterval { 100 };
-/// Interval between readings of the list of machines while something is done with machines. A
-/// machine's registration usually comes first; the list matters for those that are off.
-constexpr milliseconds activeRead { 700 };
-constexpr milliseconds idleRead { 5000 };
-constexpr milliseconds orderRetry { 400 };
+constexpr milliseconds reconcileInterval { 100 };
+/// Interval between requests for the machine list while there are tasks or unfinished waves. VM registrations
+/// usually arrive earlier than the list; only the list shows machines that are off.
+constexpr milliseconds busyListInterval { 700 };
+constexpr milliseconds idleListInterval { 5000 };
+constexpr milliseconds orderRetryInterval { 400 };
 constexpr milliseconds statusTimeout { 1000 };
-/// Entries of a transaction besides the coordinator's rows: the lease's condition.
+/// Transaction entries besides the coordinator's rows: the expectation on the lease row.
 constexpr std::size_t reservedEntries = 1;
 
 } // namespace
 
 MachineCoordinator::MachineCoordinator(
-    CoordinatorContext context, TakenLease lease, LeaseLimits limits, std::function<void()> onEnd)
+    CoordinatorContext context, AcquiredLease lease, LeaseTiming leaseTiming, std::function<void()> onEnd)
     : m_context(context)
-    , m_takenAt(lease.version)
+    , m_acquiredVersion(lease.version)
     , m_onEnd(std::move(onEnd))
     , m_ledger(context.base, context.table, context.clock, context.metrics, std::string(coordinatorPool),
-          lease, limits,
+          lease, leaseTiming,
           { [this] { return collect(); }, [this](const LedgerBatch& batch) { onCommitted(batch); },
               [this](const LedgerBatch& batch) { onFailed(batch); }, [] {},
               [this] {
@@ -37,7 +37,7 @@
                   m_ended = true;
                   m_onEnd();
               } })
-    , m_timer(context.base, [this] { pass(); })
+    , m_timer(context.base, [this] { reconcile(); })
 {
 }
 
@@ -49,13 +49,14 @@
     m_state.config = config;
     m_state.tasks = m_context.rows.tasks();
     for (const auto& [machine, task] : m_state.tasks)
-        m_durable[machine] = encodeTask(task);
+        m_committedTasks[machine] = encodeTask(task);
     for (const auto& [number, wave] : waves)
         applyWave(wave);
     logEvent(LogLevel::Info, "coordinator_begun",
-        { { "fence", std::to_string(m_ledger.fence()) }, { "tasks", std::to_string(m_state.tasks.size()) },
+        { { "fence", std::to_string(m_ledger.fencingToken()) },
+            { "tasks", std::to_string(m_state.tasks.size()) },
             { "waves", std::to_string(m_state.waves.size()) } });
-    m_timer.startPeriodic(passInterval);
+    m_timer.startPeriodic(reconcileInterval);
 }
 
 void MachineCoordinator::applyConfig(const FleetConfig& config) { m_state.config = config; }
@@ -72,17 +73,17 @@
     const auto record = m_context.rows.waves().find(wave.number);
     if (record != m_context.rows.waves().end()) {
         it->second.done = record->second.done;
-        m_waveBegun[wave.number] = record->second.begunAt;
-        m_durableWaves.insert(wave.number);
+        m_waveStartTimes[wave.number] = record->second.begunAt;
+        m_committedWaves.insert(wave.number);
     } else {
-        m_waveBegun[wave.number] = wallNow;
+        m_waveStartTimes[wave.number] = wallNow;
         m_changedWaves.insert(wave.number);
         m_ledger.markDirty();
     }
-    // A coordinator that takes over has only the time that is left.
-    const auto elapsed = std::clamp(wallNow - m_waveBegun[wave.number], milliseconds(0), wave.duration);
+    // After a takeover only the rest of the wave's duration is left.
+    const auto elapsed = std::clamp(wallNow - m_waveStartTimes[wave.number], milliseconds(0), wave.duration);
     it->second.seenAt = m_context.clock.now() - elapsed;
-    m_nextRead = TimePoint {};
+    m_nextListAt = TimePoint {};
     logEvent(LogLevel::Info, "wave_begun",
         { { "wave", std::to_string(wave.number) }, { "machines", std::to_string(wave.machines.size()) },
             { "done", std::to_string(it->second.done.size()) }, { "max_down", std::to_string(wave.maxDown) },
@@ -93,21 +94,21 @@
 {
     if (!m_begun || vm.machine.empty())
         return;
-    m_goneVms.erase(vm.id);
+    m_unregisteredVms.erase(vm.id);
     auto& machine = m_state.machines[vm.machine];
     machine = { vm.machine, vm.pool, vm.draining ? MachineState::Down : MachineState::Up, vm.id };
 }
 
 void MachineCoordinator::removeVm(const VmEntry& vm)
 {
-    m_goneVms.insert(vm.id);
+    m_unregisteredVms.insert(vm.id);
     const auto found = m_state.machines.find(vm.machine);
     if (found != m_state.machines.end() && found->second.vm == vm.id
         && found->second.state == MachineState::Up)
         found->second.state = MachineState::Down;
 }
 
-void MachineCoordinator::applyRows() { m_state.loads = m_context.rows.loads(); }
+void MachineCoordinator::updateLoads() { m_state.loads = m_context.rows.loads(); }
 
 void MachineCoordinator::release()
 {
@@ -115,7 +116,7 @@
     m_ledger.release();
 }
 
-bool MachineCoordinator::isActive() const
+bool MachineCoordinator::hasWork() const
 {
     if (!m_state.tasks.empty())
         return true;
@@ -125,71 +126,72 @@
     });
 }
 
-void MachineCoordinator::pass()
+void MachineCoordinator::reconcile()
 {
-    if (!m_begun || m_ended || !m_ledger.mayOrder())
+    if (!m_begun || m_ended || !m_ledger.isLeaseValid())
         return;
     const auto now = m_context.clock.now();
-    applyRows();
-    readMachines(now);
-    if (!m_read)
+    updateLoads();
+    requestMachineList(now);
+    if (!m_hasMachineList)
         return;
     finishTasks();
     beginTasks(now);
-    giveOrders(now);
+    sendOrders(now);
     reportWaves();
 }
 
-void MachineCoordinator::readMachines(TimePoint now)
+void MachineCoordinator::requestMachineList(TimePoint now)
 {
-    if (m_reading || now < m_nextRead)
+    if (m_isListing || now < m_nextListAt)
         return;
-    m_reading = true;
-    m_readSince = now;
+    m_isListing = true;
+    m_listRequestedAt = now;
     m_context.machines.list(
         [this, alive = m_alive](tl::expected<std::vector<Machine>, OrderOutcome> machines) {
             if (!*alive || m_ended)
                 return;
-            m_reading = false;
-            m_nextRead = m_context.clock.now() + (isActive() ? activeRead : idleRead);
+            m_isListing = false;
+            m_nextListAt = m_context.clock.now() + (hasWork() ? busyListInterval : idleListInterval);
             if (!machines) {
-                logEvent(LogLevel::Warning, "machines_unreadable",
+                logEvent(LogLevel::Warning, "machine_list_failed",
                     { { "outcome", std::string(nameOf(orderOutcomeNames, machines.error())) } });
                 return;
             }
-            takeMachines(std::move(*machines));
+            applyMachineList(std::move(*machines));
         });
 }
 
-void MachineCoordinator::takeMachines(std::vector<Machine> machines)
+void MachineCoordinator::applyMachineList(std::vector<Machine> machines)
 {
-    std::map<std::string, Machine> read;
+    std::map<std::string, Machine> listed;
     for (auto& machine : machines) {
         const auto id = machine.id;
-        // A list that was asked for before an order may show the machine as it was.
-        const auto ordered = m_orderedAt.find(id);
-        const bool stale = ordered != m_orderedAt.end() && ordered->second >= m_readSince;
-        // The platform may go on to call a machine up whose VM has crashed.
-        if (machine.state == MachineState::Up && m_goneVms.contains(machine.vm))
+        // A list requested before an order was accepted may show the machine's earlier state.
+        const auto ordered = m_orderAcceptedAt.find(id);
+        const bool isStale = ordered != m_orderAcceptedAt.end() && ordered->second >= m_listRequestedAt;
+        // The platform may still report a machine as up after its VM has crashed.
+        if (machine.state == MachineState::Up && m_unregisteredVms.contains(machine.vm))
             machine.state = MachineState::Down;
-        read.emplace(id, stale ? m_state.machines[id] : std::move(machine));
+        listed.emplace(id, isStale ? m_state.machines[id] : std::move(machine));
     }
-    m_state.machines = std::move(read);
-    m_read = true;
-    noteDoneBefore();
+    m_state.machines = std::move(listed);
+    m_hasMachineList = true;
+    detectRepeatedOrders();
 }
 
-void MachineCoordinator::noteDoneBefore()
+void MachineCoordinator::detectRepeatedOrders()
 {
     for (auto& [id, task] : m_state.tasks) {
         const auto machine = m_state.machines.find(id);
-        const auto ordered = m_orderedAt.find(id);
-        const bool seenSince = ordered != m_orderedAt.end() && ordered->second < m_readSince;
-        if (task.state != MachineTaskState::Ordered || task.oldVm.empty() || !seenSince
+        const auto ordered = m_orderAcceptedAt.find(id);
+        const bool listedAfterOrder
+            = ordered != m_orderAcceptedAt.end() && ordered->second < m_listRequestedAt;
+        if (task.state != MachineTaskState::Ordered || task.oldVm.empty() || !listedAfterOrder
             || machine == m_state.machines.end() || machine->second.state != MachineState::Up
             || machine->second.vm != task.oldVm)
             continue;
-        // The platform accepts what an earlier coordinator has had done, and then does nothing.
+        // The platform accepts a repeated order that it has already carried out, and does nothing.
         task.oldVm.clear();
         m_changedTasks.insert(id);
         m_ledger.markDirty();
@@ -208,7 +210,7 @@
 
 void MachineCoordinator::beginTask(MachineTask task)
 {
-    task.id = std::to_string(m_takenAt) + "." + std::to_string(++m_begunTasks);
+    task.id = std::to_string(m_acquiredVersion) + "." + std::to_string(++m_taskCount);
     logEvent(LogLevel::Info, "machine_task",
         { { "machine", task.machine }, { "action", std::string(nameOf(machineActionNames, task.action)) },
             { "wave", std::to_string(task.wave) }, { "to_pool", task.toPool }, { "vm", task.oldVm },
@@ -218,45 +220,46 @@
     m_state.tasks.emplace(machine, std::move(task));
 }
 
-void MachineCoordinator::giveOrders(TimePoint now)
+void MachineCoordinator::sendOrders(TimePoint now)
 {
     for (const auto& [id, task] : m_state.tasks) {
-        const auto durable = m_durable.find(id);
-        if (durable == m_durable.end() || durable->second != encodeTask(task) || m_ordering.contains(id))
+        const auto committed = m_committedTasks.find(id);
+        if (committed == m_committedTasks.end() || committed->second != encodeTask(task)
+            || m_ordersInFlight.contains(id))
             continue;
-        if (mayOrder(m_state, task) && now >= m_nextOrder[id])
-            giveOrder(task);
+        if (mayOrder(m_state, task) && now >= m_nextOrderAt[id])
+            sendOrder(task);
     }
 }
 
-void MachineCoordinator::giveOrder(const MachineTask& task)
+void MachineCoordinator::sendOrder(const MachineTask& task)
 {
     const auto machine = task.machine;
-    m_ordering.insert(machine);
+    m_ordersInFlight.insert(machine);
     auto done = [this, machine, alive = m_alive](OrderOutcome outcome) {
         if (*alive && !m_ended)
-            onOrdered(machine, outcome);
+            onOrderOutcome(machine, outcome);
     };
     if (task.action == MachineAction::Maintain)
-        m_context.machines.maintain(machine, task.wave, m_ledger.fence(), done);
+        m_context.machines.maintain(machine, task.wave, m_ledger.fencingToken(), done);
     else
-        m_context.machines.move(machine, task.toPool, m_ledger.fence(), done);
+        m_context.machines.move(machine, task.toPool, m_ledger.fencingToken(), done);
 }
 
-void MachineCoordinator::onOrdered(const std::string& machine, OrderOutcome outcome)
+void MachineCoordinator::onOrderOutcome(const std::string& machine, OrderOutcome outcome)
 {
-    m_ordering.erase(machine);
-    m_nextOrder[machine] = m_context.clock.now() + orderRetry;
+    m_ordersInFlight.erase(machine);
+    m_nextOrderAt[machine] = m_context.clock.now() + orderRetryInterval;
     auto found = m_state.tasks.find(machine);
     logEvent(LogLevel::Info, "machine_order",
         { { "machine", machine }, { "outcome", std::string(nameOf(orderOutcomeNames, outcome)) },
-            { "fence", std::to_string(m_ledger.fence()) } });
+            { "fence", std::to_string(m_ledger.fencingToken()) } });
     if (found == m_state.tasks.end())
         return;
     if (outcome == OrderOutcome::Superseded)
-        m_ledger.raiseFence();
+        m_ledger.raiseFencingToken();
     if (outcome == OrderOutcome::Invalid && found->second.action == MachineAction::Move) {
-        // The platform will not carry it out; the machine stays where it is.
+        // The platform rejects the move; the machine stays in its pool.
         m_state.refusedMoves.insert({ machine, found->second.toPool });
         m_state.tasks.erase(found);
         m_changedTasks.insert(machine);
@@ -265,7 +268,7 @@
     }
     if (outcome != OrderOutcome::Accepted)
         return;
-    m_orderedAt[machine] = m_context.clock.now();
+    m_orderAcceptedAt[machine] = m_context.clock.now();
     found->second.state = MachineTaskState::Ordered;
     auto& known = m_state.machines[machine];
     known.state
@@ -279,21 +282,21 @@
 {
     for (auto it = m_state.tasks.begin(); it != m_state.tasks.end();) {
         const auto& task = it->second;
-        const auto durable = m_durable.find(it->first);
-        const bool abandoned = isAbandoned(m_state, task) && !m_ordering.contains(it->first);
-        if (durable == m_durable.end() || durable->second != encodeTask(task)
-            || !(isBack(m_state, task) || abandoned)) {
+        const auto committed = m_committedTasks.find(it->first);
+        const bool isTaskAbandoned = isAbandoned(m_state, task) && !m_ordersInFlight.contains(it->first);
+        if (committed == m_committedTasks.end() || committed->second != encodeTask(task)
+            || !(isBack(m_state, task) || isTaskAbandoned)) {
             ++it;
             continue;
         }
-        logEvent(LogLevel::Info, abandoned ? "machine_task_abandoned" : "machine_back",
+        logEvent(LogLevel::Info, isTaskAbandoned ? "machine_task_abandoned" : "machine_back",
             { { "machine", task.machine }, { "action", std::string(nameOf(machineActionNames, task.action)) },
                 { "state", std::string(nameOf(machineTaskStateNames, task.state)) } });
-        // An order that was accepted counts even if the machine crashed afterwards.
+        // Accepted maintenance counts as done even if the machine crashes afterwards.
         if (task.action == MachineAction::Maintain && task.state == MachineTaskState::Ordered) {
             m_state.waves[task.wave].done.insert(task.machine);
             m_changedWaves.insert(task.wave);
-            m_durableWaves.erase(task.wave);
+            m_committedWaves.erase(task.wave);
         }
         m_state.movedAt[task.machine] = m_context.clock.now();
         m_changedTasks.insert(task.machine);
@@ -305,31 +308,31 @@
 void MachineCoordinator::reportWaves()
 {
     for (const auto& [number, wave] : m_state.waves) {
-        const bool completed = m_durableWaves.contains(number) && isComplete(m_state, wave);
+        const bool completed = m_committedWaves.contains(number) && isComplete(m_state, wave);
         const auto reported = m_reported.find(number);
-        const bool news = reported == m_reported.end() || (completed && !reported->second);
-        if (news && !m_reporting.contains(number))
-            writeStatus(number, completed);
+        const bool needsReport = reported == m_reported.end() || (completed && !reported->second);
+        if (needsReport && !m_statusWritesInFlight.contains(number))
+            writeWaveStatus(number, completed);
     }
 }
 
-void MachineCoordinator::writeStatus(std::int64_t wave, bool completed)
+void MachineCoordinator::writeWaveStatus(std::int64_t wave, bool completed)
 {
-    m_reporting.insert(wave);
+    m_statusWritesInFlight.insert(wave);
     const auto table = m_context.codec.statusTable();
     const auto key = m_context.codec.waveStatusKey(wave);
     TableTransaction transaction { "", {},
         { { table, key, m_context.codec.encodeWaveState(wave, completed) } } };
-    // A late "running" must not replace "completed".
+    // A delayed "running" status must not overwrite "completed".
     if (!completed)
         transaction.expectations.push_back({ table, key, 0 });
     m_context.table.commit(
         transaction, statusTimeout, [this, wave, completed, alive = m_alive](TableResult<Version> result) {
             if (!*alive || m_ended)
                 return;
-            m_reporting.erase(wave);
+            m_statusWritesInFlight.erase(wave);
             if (!result && result.error() != TableFailure::Conflict)
-                return; // tried again with the next pass
+                return; // the next reconcile() tries again
             m_reported[wave] = completed;
             logEvent(LogLevel::Info, "wave_reported",
                 { { "wave", std::to_string(wave) }, { "completed", completed ? "yes" : "no" } });
@@ -340,10 +343,10 @@
 {
     LedgerBatch batch;
     const std::string table(controlTable);
-    // A wave's row counts a machine as done, so it goes out before the row of the machine's task goes.
+    // The wave's row must record a machine as done no later than its task row is deleted.
     for (const auto wave : m_changedWaves)
         batch.writes.push_back(
-            { table, rows::waveKey(wave), encodeWave({ m_waveBegun[wave], m_state.waves[wave].done }) });
+            { table, rows::waveKey(wave), encodeWave({ m_waveStartTimes[wave], m_state.waves[wave].done }) });
     m_changedWaves.clear();
     while (!m_changedTasks.empty() && batch.writes.size() < maxTransactionEntries - reservedEntries) {
         const auto id = *m_changedTasks.begin();
@@ -362,18 +365,18 @@
     for (const auto& write : batch.writes) {
         if (write.key.starts_with(machinePrefix)) {
             const auto machine = write.key.substr(machinePrefix.size());
-            m_durable.erase(machine);
+            m_committedTasks.erase(machine);
             if (write.value)
-                m_durable.emplace(machine, *write.value);
+                m_committedTasks.emplace(machine, *write.value);
         }
     }
     for (const auto& [number, wave] : m_state.waves) {
         if (!m_changedWaves.contains(number))
-            m_durableWaves.insert(number);
+            m_committedWaves.insert(number);
     }
     if (!m_changedTasks.empty())
         m_ledger.markDirty();
-    pass();
+    reconcile();
 }
 
 void MachineCoordinator::onFailed(const LedgerBatch& batch)
--- a/src/libfleet/machine_coordinator_test.cpp
+++ b/src/libfleet/machine_coordinator_test.cpp
@@ -1,4 +1,4 @@
-/// The coordinator against machines in memory.
+/// MachineCoordinator with an in-memory table and machines.
 #include "fakes_test.h"
 
 #include <damaskworks/machine_coordinator.h>
@@ -12,24 +12,24 @@
 
 namespace {
 
-/// Machines that come back with another VM as soon as the list is read again.
+/// In-memory machines. Each order takes effect at once: the machine has a new VM.
 class FakeMachines final : public MachineControl {
 public:
     explicit FakeMachines(event_base* base)
-        : m_timer(base, [this] { answer(); })
+        : m_timer(base, [this] { sendAnswers(); })
     {
     }
 
     std::map<std::string, Machine> machines;
-    int maintained = 0;
-    bool doneBefore = false; ///< orders are accepted and nothing is done
+    int maintenanceOrders = 0;
+    bool ignoresOrders = false; ///< accepts maintenance orders without effect
 
     void list(std::function<void(tl::expected<std::vector<Machine>, OrderOutcome>)> callback) override
     {
         std::vector<Machine> out;
         for (const auto& [id, machine] : machines)
             out.push_back(machine);
-        later([callback, out] { callback(out); });
+        postAnswer([callback, out] { callback(out); });
     }
 
     void move(const std::string& machine, const std::string& pool, std::uint64_t,
@@ -37,26 +37,26 @@
     {
         machines[machine].pool = pool;
         machines[machine].vm += "'";
-        later([callback] { callback(OrderOutcome::Accepted); });
+        postAnswer([callback] { callback(OrderOutcome::Accepted); });
     }
 
     void maintain(const std::string& machine, std::int64_t, std::uint64_t,
         EndpointControl::OrderCallback callback) override
     {
-        ++maintained;
-        if (!doneBefore)
+        ++maintenanceOrders;
+        if (!ignoresOrders)
             machines[machine].vm += "'";
-        later([callback] { callback(OrderOutcome::Accepted); });
+        postAnswer([callback] { callback(OrderOutcome::Accepted); });
     }
 
 private:
-    void later(std::function<void()> callback)
+    void postAnswer(std::function<void()> callback)
     {
         m_answers.push_back(std::move(callback));
         m_timer.startOnce(std::chrono::microseconds(1));
     }
 
-    void answer()
+    void sendAnswers()
     {
         for (auto& callback : std::exchange(m_answers, {}))
             callback();
@@ -68,9 +68,9 @@
 
 } // namespace
 
-/// A coordinator that has taken its lease, with wave 1.
-struct Coordinated {
-    Coordinated()
+/// A coordinator that holds its lease and has begun with wave 1.
+struct CoordinatorFixture {
+    CoordinatorFixture()
         : table(loop.base())
         , machines(loop.base())
         , adapter(Registry<AdapterPlugin>::instance().find("fleet")->open(loop.base(), NodeSettings {}))
@@ -87,7 +87,7 @@
         BOOST_REQUIRE(loop.runUntil([&] { return version > 0; }, 1s));
         coordinator = std::make_unique<MachineCoordinator>(
             CoordinatorContext { loop.base(), clock, metrics, table, machines, *adapter.codec, fleetRows },
-            TakenLease { row, version, clock.now() }, LeaseLimits {}, [] {});
+            AcquiredLease { row, version, clock.now() }, LeaseTiming {}, [] {});
         coordinator->begin(config, { { 1, wave } });
     }
 
@@ -109,7 +109,7 @@
     std::unique_ptr<MachineCoordinator> coordinator;
 };
 
-BOOST_FIXTURE_TEST_CASE(waveOfMoreMachinesThanATransactionHoldsIsCarriedOut, Coordinated)
+BOOST_FIXTURE_TEST_CASE(waveLargerThanOneTransactionCompletes, CoordinatorFixture)
 {
     constexpr int count = 150;
     config.pools["off"] = { "off", true, false };
@@ -121,21 +121,21 @@
     }
     begin();
     BOOST_TEST(loop.runUntil([&] { return isReportedDone(); }, 20s));
-    BOOST_TEST(machines.maintained == count);
+    BOOST_TEST(machines.maintenanceOrders == count);
     BOOST_TEST(table.largestTransaction <= maxTransactionEntries);
 }
 
-BOOST_FIXTURE_TEST_CASE(maintenanceThatAnEarlierCoordinatorHadDoneCounts, Coordinated)
+BOOST_FIXTURE_TEST_CASE(maintenanceThatAnEarlierCoordinatorHadDoneCounts, CoordinatorFixture)
 {
-    // Soak, seed 122: the coordinator was lost between the order and its record; the next one's order was
-    // accepted without effect, and it waited for another VM for ever.
+    // A coordinator failed between sending an order and recording it (soak test, seed 122). The platform
+    // accepted the next coordinator's order without effect, and that coordinator waited forever for a new VM.
     config.pools["a"] = { "a", false, false };
     machines.machines["m1"] = { "m1", "a", MachineState::Up, "vm-2" };
-    machines.doneBefore = true;
+    machines.ignoresOrders = true;
     wave.machines = { "m1" };
     begin();
-    PoolLoad load; // of the first task of this coordinator
-    load.empty = { { "m1", std::to_string(coordinator->takenAt()) + ".1" } };
+    PoolLoad load; // shows the machine as empty for this coordinator's first task
+    load.empty = { { "m1", std::to_string(coordinator->acquiredVersion()) + ".1" } };
     fleetRows.apply({ rows::poolPart("a"), std::string(loadKey), encodeLoad(load), 1 });
     BOOST_TEST(loop.runUntil([&] { return isReportedDone(); }, 20s));
 }
--- a/src/libfleet/pool_election_test.cpp
+++ b/src/libfleet/pool_election_test.cpp
@@ -1,4 +1,4 @@
-/// Several nodes that look for free leases at the same time.
+/// Several nodes that compete for free leases.
 #include "fakes_test.h"
 
 #include <damaskworks/job_directory.h>
@@ -13,31 +13,31 @@
 namespace {
 
 struct Node {
-    NodeStrength strength;
-    std::size_t held = 0;
+    NodeCapacity capacity;
+    std::size_t heldPools = 0;
     std::unique_ptr<PoolElection> election;
 };
 
-/// Nodes that start together and follow one table.
+/// Nodes that start at the same time and follow one table.
 struct Nodes {
-    explicit Nodes(const std::vector<NodeStrength>& strengths)
+    explicit Nodes(const std::vector<NodeCapacity>& capacities)
         : table(loop.base())
-        , nodes(strengths.size())
-        , feed(loop.base(), [this] { follow(); })
+        , nodes(capacities.size())
+        , followTimer(loop.base(), [this] { follow(); })
     {
         for (std::size_t i = 0; i < nodes.size(); ++i) {
             auto& node = nodes[i];
-            node.strength = strengths[i];
+            node.capacity = capacities[i];
             const auto name = "n" + std::to_string(i);
             node.election = std::make_unique<PoolElection>(loop.base(), table, clock, name, name + "-1",
-                node.strength, i + 1, LeaseLimits {},
-                PoolElection::Events { [] { return true; }, [&node] { return node.held; },
-                    [this, &node](const std::string&, const TakenLease&) {
-                        ++node.held;
-                        ++taken;
+                node.capacity, i + 1, LeaseTiming {},
+                PoolElection::Callbacks { [] { return true; }, [&node] { return node.heldPools; },
+                    [this, &node](const std::string&, const AcquiredLease&) {
+                        ++node.heldPools;
+                        ++acquiredCount;
                     } });
         }
-        feed.startPeriodic(20ms);
+        followTimer.startPeriodic(20ms);
     }
 
     void follow()
@@ -48,53 +48,53 @@
         }
     }
 
-    bool takeAll(const std::set<std::string>& pools)
+    bool acquireAll(const std::set<std::string>& pools)
     {
         for (auto& node : nodes)
             node.election->setPools(pools);
-        return loop.runUntil([&] { return taken == pools.size(); }, 10s);
+        return loop.runUntil([&] { return acquiredCount == pools.size(); }, 10s);
     }
 
     Loop loop;
     SystemClock clock;
     FakeTable table;
     std::vector<Node> nodes;
-    std::size_t taken = 0;
-    Timer feed;
+    std::size_t acquiredCount = 0;
+    Timer followTimer;
 };
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(poolsSpreadOverNodesThatStartTogether)
+BOOST_AUTO_TEST_CASE(nodesThatStartTogetherShareThePools)
 {
-    // On a played day one node held the coordinator and the busiest pool, and both were lost with it.
-    Nodes fleet(std::vector<NodeStrength>(6));
-    BOOST_REQUIRE(fleet.takeAll({ "a", "b", "c", "d", "e", "f" }));
-    // Two at most: a slow machine may delay one node's first attempt beyond another's second.
+    // When one node held the coordinator and the busiest pool, both failed together with it.
+    Nodes fleet(std::vector<NodeCapacity>(6));
+    BOOST_REQUIRE(fleet.acquireAll({ "a", "b", "c", "d", "e", "f" }));
+    // Not exactly one: on a slow machine one node's second attempt may come before another's first.
     for (const auto& node : fleet.nodes)
-        BOOST_TEST(node.held <= 2u);
+        BOOST_TEST(node.heldPools <= 2u);
 }
 
-BOOST_AUTO_TEST_CASE(poolLostToAnotherNodeDelaysNoOtherPool)
+BOOST_AUTO_TEST_CASE(poolAcquiredByAnotherNodeDelaysNoOtherPool)
 {
-    // On a played day six strong nodes raced for one pool after the other, 0.4 s each, until a node
-    // with a link of 10 Mbit/s took the last one; it choked on its orders for the rest of the day.
+    // Six large nodes competed for one pool after the other, 0.4 s each, until a node with a 10 Mbit/s link
+    // acquired the last one. Its link was too slow for the pool's orders from then on.
     Nodes fleet({ { 0.5, 200 }, { 0.12, 10 } });
-    fleet.feed.stop();
-    const std::set<std::string> lost { "a", "b", "c", "d" };
-    for (const auto& pool : lost) {
+    fleet.followTimer.stop();
+    const std::set<std::string> poolsOfOtherNode { "a", "b", "c", "d" };
+    for (const auto& pool : poolsOfOtherNode) {
         const LeaseRow row { "n9", "n9-1", 0, 1 };
         fleet.table.commit({ rows::poolPart(pool), {},
                                { { std::string(controlTable), std::string(leaseKey), encodeLease(row) } } },
             1s, [](TableResult<Version>) {});
     }
-    // The strong node has not heard of them yet.
+    // Only the small node knows yet that these pools have a holder.
     fleet.nodes[1].election->reset(fleet.table.rows(std::string(controlTable)));
-    auto pools = lost;
+    auto pools = poolsOfOtherNode;
     pools.insert("e");
     for (auto& node : fleet.nodes)
         node.election->setPools(pools);
-    BOOST_REQUIRE(fleet.loop.runUntil([&] { return fleet.taken > 0; }, 10s));
-    BOOST_TEST(fleet.nodes[0].held == 1u);
-    BOOST_TEST(fleet.nodes[1].held == 0u);
+    BOOST_REQUIRE(fleet.loop.runUntil([&] { return fleet.acquiredCount > 0; }, 10s));
+    BOOST_TEST(fleet.nodes[0].heldPools == 1u);
+    BOOST_TEST(fleet.nodes[1].heldPools == 0u);
 }
--- a/src/libfleet/pool_holder.cpp
+++ b/src/libfleet/pool_holder.cpp
@@ -10,27 +10,29 @@
 
 using std::chrono::microseconds;
 
-/// Longest time between passes while something waits for time to pass.
-constexpr milliseconds idlePass { 100 };
-/// Interval at which the pool's load is written while it changes.
+/// Longest time between calls of reconcile() while there are jobs or evacuations, whose timeouts it checks.
+constexpr milliseconds reconcileInterval { 100 };
+/// Shortest time between two writes of the pool's load.
 constexpr milliseconds loadInterval { 150 };
 constexpr milliseconds loadLogInterval { 1000 };
-/// Entries of a transaction besides its writes: the lease's condition.
+/// Transaction entries besides the writes: the expectation on the lease row.
 constexpr std::size_t reservedEntries = 1;
-/// Covers the old holder's last order, rounding and the drift of the VMs' clocks.
-constexpr milliseconds uncertaintyMargin { 300 };
+/// Added to the longest VM lease after a takeover. Covers the previous holder's last order, rounding and the
+/// drift of the VMs' clocks.
+constexpr milliseconds takeoverMargin { 300 };
 
 } // namespace
 
-PoolHolder::PoolHolder(HolderContext context, std::string pool, TakenLease lease, LeaseLimits limits,
-    milliseconds maxVmLease, std::function<void()> onRead, std::function<void()> onEnd)
+PoolHolder::PoolHolder(HolderContext context, std::string pool, AcquiredLease lease, LeaseTiming leaseTiming,
+    milliseconds maxVmLease, std::function<void()> onProgressLoaded, std::function<void()> onEnd)
     : m_context(context)
-    , m_takenAt(lease.version)
+    , m_acquiredVersion(lease.version)
     , m_maxVmLease(maxVmLease)
     , m_onEnd(std::move(onEnd))
-    , m_ledger(context.base, context.table, context.clock, context.metrics, pool, lease, limits,
-          { [this] { return collect(); }, [this](const LedgerBatch& batch) { onCommitted(batch); },
-              [this](const LedgerBatch& batch) { onFailed(batch); }, [this] { wake(passDelay); },
+    , m_ledger(context.base, context.table, context.clock, context.metrics, pool, lease, leaseTiming,
+          { [this] { return collectBatch(); }, [this](const LedgerBatch& batch) { onCommitted(batch); },
+              [this](const LedgerBatch& batch) { onFailed(batch); },
+              [this] { scheduleReconcile(reconcileDelay); },
               [this] {
                   m_ended = true;
                   m_onEnd();
@@ -39,20 +41,21 @@
                   m_ended = true;
                   m_onEnd();
               } })
-    , m_advisor(context.advice, m_state, context.clock, context.metrics, [this] { wake(passDelay); })
-    , m_specs(context.base, context.table, context.metrics,
-          [this](const std::string& job, std::string spec) { onSpec(job, std::move(spec)); })
+    , m_advisor(context.advice, m_state, context.clock, context.metrics,
+          [this] { scheduleReconcile(reconcileDelay); })
+    , m_specReader(context.base, context.table, context.metrics,
+          [this](const std::string& job, std::string spec) { onSpecRead(job, std::move(spec)); })
     , m_progressReader(context.base, context.table, context.metrics, pool,
-          [this, onRead = std::move(onRead)](ProgressReader::Rows rows) {
-              m_progress = std::move(rows);
-              onRead();
+          [this, onProgressLoaded = std::move(onProgressLoaded)](ProgressReader::Rows rows) {
+              m_earlierProgress = std::move(rows);
+              onProgressLoaded();
           })
-    , m_passTimer(context.base, [this] { pass(); })
+    , m_reconcileTimer(context.base, [this] { reconcile(); })
 {
     m_state.pool = std::move(pool);
     m_state.term = lease.row.term;
     if (m_state.term == 0)
-        m_progress.emplace(); // there is no earlier holder
+        m_earlierProgress.emplace(); // there is no earlier holder
     else
         m_progressReader.start();
 }
@@ -65,9 +68,10 @@
     const auto now = m_context.clock.now();
     m_state.limits.vmLease = std::min(m_state.limits.vmLease, m_maxVmLease);
     if (m_state.term > 0) {
-        const auto span = std::chrono::duration<double, std::milli>(m_state.limits.vmLease)
+        const auto longestLease = std::chrono::duration<double, std::milli>(m_state.limits.vmLease)
             / m_state.limits.slowestVmClock;
-        m_state.uncertainUntil = now + std::chrono::duration_cast<milliseconds>(span) + uncertaintyMargin;
+        m_state.uncertainUntil
+            = now + std::chrono::duration_cast<milliseconds>(longestLease) + takeoverMargin;
     }
     applyConfig(config);
     for (const auto& [id, vm] : vms)
@@ -76,24 +80,24 @@
         applyJob(id, record);
     logEvent(LogLevel::Info, "pool_begun",
         { { "pool", m_state.pool }, { "term", std::to_string(m_state.term) },
-            { "fence", std::to_string(m_ledger.fence()) }, { "jobs", std::to_string(m_state.jobs.size()) },
-            { "vms", std::to_string(m_state.vms.size()) } });
+            { "fence", std::to_string(m_ledger.fencingToken()) },
+            { "jobs", std::to_string(m_state.jobs.size()) }, { "vms", std::to_string(m_state.vms.size()) } });
     if (m_state.term > 0)
-        readMachines();
-    wake(microseconds(0));
+        requestMachineList();
+    scheduleReconcile(microseconds(0));
 }
 
-void PoolHolder::readMachines()
+void PoolHolder::requestMachineList()
 {
     m_context.machines.list(
         [this, alive = m_alive](tl::expected<std::vector<Machine>, OrderOutcome> machines) {
             if (!*alive || m_ended)
                 return;
             if (!machines) {
-                logEvent(LogLevel::Warning, "machines_unreadable",
+                logEvent(LogLevel::Warning, "machine_list_failed",
                     { { "pool", m_state.pool },
                         { "outcome", std::string(nameOf(orderOutcomeNames, machines.error())) } });
-                return; // the leases of the VMs will have run out
+                return; // the holder then waits until the VMs' leases have expired
             }
             std::set<std::string> vms;
             for (const auto& machine : *machines) {
@@ -101,7 +105,7 @@
                     vms.insert(machine.vm);
             }
             m_state.knownVms = std::move(vms);
-            wake(passDelay);
+            scheduleReconcile(reconcileDelay);
         });
 }
 
@@ -118,47 +122,47 @@
 {
     if (!m_begun || record.pool != m_state.pool || !record.isAccepted())
         return;
-    if (m_forgotten.contains(id))
+    if (m_removedJobs.contains(id))
         return;
     if (!m_state.jobs.contains(id) && !isFinal(record.state)) {
-        auto job = decodeJob(record.text);
+        auto job = decodeJob(record.encodedJob);
         if (!job)
-            return; // the directory has logged it
-        if (record.version >= m_takenAt)
+            return; // JobDirectory has logged the error
+        if (record.version >= m_acquiredVersion)
             noteArrival(m_state, *job, m_context.clock.now());
         addRecordedJob(std::move(*job), record);
     }
     if (record.cancelled)
         cancelJob(m_state, id);
-    wake(passDelay);
+    scheduleReconcile(reconcileDelay);
 }
 
 void PoolHolder::addRecordedJob(JobSpec job, const JobRecord& record)
 {
     const auto id = job.id;
-    auto progress = m_progress->extract(id);
-    // A state alone is written by a holder that has not begun the job, or has recorded its end.
-    std::string text = progress ? std::move(progress.mapped())
-        : record.begun          ? encodeState(record.state)
-                                : "";
-    addJob(m_state, std::move(job), text, m_state.term > 0 && record.version < m_takenAt);
+    auto progress = m_earlierProgress->extract(id);
+    // A state without progress means that the earlier holder had not begun the job, or had recorded its end.
+    std::string progressText = progress ? std::move(progress.mapped())
+        : record.hasStateRow            ? encodeState(record.state)
+                                        : "";
+    addJob(m_state, std::move(job), progressText, m_state.term > 0 && record.version < m_acquiredVersion);
     const auto added = m_state.jobs.find(id);
     if (added == m_state.jobs.end())
         return;
-    if (record.begun)
+    if (record.hasStateRow)
         added->second.recorded = record.state;
     if (!added->second.hasSpec)
-        m_specs.want(rows::jobPart(record.queue, id), id);
+        m_specReader.requestSpec(rows::jobPart(record.queue, id), id);
 }
 
-void PoolHolder::onSpec(const std::string& job, std::string spec)
+void PoolHolder::onSpecRead(const std::string& job, std::string spec)
 {
     const auto found = m_state.jobs.find(job);
     if (found == m_state.jobs.end())
-        return; // has ended meanwhile
+        return; // the job has ended in the meantime
     found->second.spec.spec = std::move(spec);
     found->second.hasSpec = true;
-    wake(passDelay);
+    scheduleReconcile(reconcileDelay);
 }
 
 void PoolHolder::listVm(const VmEntry& vm)
@@ -168,11 +172,11 @@
     if (vm.pool != m_state.pool)
         return unlistVm(vm.id);
     fleet::listVm(m_state, vm);
-    noteEvacuation(m_state.vms.at(vm.id));
-    wake(passDelay);
+    applyEvacuation(m_state.vms.at(vm.id));
+    scheduleReconcile(reconcileDelay);
 }
 
-void PoolHolder::noteEvacuation(VmState& vm) const
+void PoolHolder::applyEvacuation(VmState& vm) const
 {
     const auto found = m_evacuations.find(vm.entry.machine);
     vm.evacuating = found != m_evacuations.end();
@@ -185,53 +189,53 @@
         return;
     m_evacuations = machines;
     for (auto& [id, vm] : m_state.vms)
-        noteEvacuation(vm);
-    wake(passDelay);
+        applyEvacuation(vm);
+    scheduleReconcile(reconcileDelay);
 }
 
 void PoolHolder::unlistVm(const std::string& id)
 {
     fleet::unlistVm(m_state, id);
-    wake(passDelay);
+    scheduleReconcile(reconcileDelay);
 }
 
 void PoolHolder::release()
 {
-    m_passTimer.stop();
+    m_reconcileTimer.stop();
     m_ledger.release();
 }
 
-void PoolHolder::wake(microseconds delay)
+void PoolHolder::scheduleReconcile(microseconds delay)
 {
     if (!m_begun || m_ended)
         return;
     const auto at = m_context.clock.now() + delay;
-    if (m_passPlanned && m_passAt <= at)
+    if (m_isReconcileScheduled && m_reconcileAt <= at)
         return;
-    m_passPlanned = true;
-    m_passAt = at;
-    m_passTimer.startOnce(std::max(delay, microseconds(1)));
+    m_isReconcileScheduled = true;
+    m_reconcileAt = at;
+    m_reconcileTimer.startOnce(std::max(delay, microseconds(1)));
 }
 
-void PoolHolder::pass()
+void PoolHolder::reconcile()
 {
-    m_passPlanned = false;
-    if (m_ended || !m_ledger.mayOrder())
+    m_isReconcileScheduled = false;
+    if (m_ended || !m_ledger.isLeaseValid())
         return;
     const auto now = m_context.clock.now();
     expireLeases(m_state, now);
     planEvacuations(m_state, now);
     sendStops(now);
-    if (m_context.jobsAreFresh()) {
+    if (m_context.isDirectoryFresh()) {
         sendStarts(now);
-        m_advisor.pass();
+        m_advisor.requestNext();
     }
     sendHolds(now);
-    forgetEnded();
+    removeEndedJobs();
     markDirtyIfNeeded();
     publishLoad(now);
     if (!m_state.jobs.empty() || !m_evacuations.empty())
-        wake(idlePass);
+        scheduleReconcile(reconcileInterval);
 }
 
 void PoolHolder::markDirtyIfNeeded()
@@ -247,13 +251,13 @@
     while (!m_state.arrivals.empty() && now - m_state.arrivals.front().at > m_state.limits.arrivalWindow * 2)
         m_state.arrivals.pop_front();
     auto load = loadOf(m_state, now);
-    if (load == m_load)
+    if (load == m_publishedLoad)
         return;
-    const bool urgent = load.empty != m_load.empty;
-    if (!urgent && now - m_loadAt < loadInterval)
+    const bool urgent = load.empty != m_publishedLoad.empty;
+    if (!urgent && now - m_loadPublishedAt < loadInterval)
         return;
-    m_newLoad = std::move(load);
-    m_loadAt = now;
+    m_pendingLoad = std::move(load);
+    m_loadPublishedAt = now;
     logLoad(now);
     m_ledger.markDirty();
 }
@@ -266,39 +270,40 @@
     logEvent(LogLevel::Info, "pool_load",
         { { "pool", m_state.pool }, { "jobs", std::to_string(m_state.jobs.size()) },
             { "vms", std::to_string(m_state.vms.size()) },
-            { "capacity", std::to_string(m_newLoad->capacityCpu) },
-            { "used", std::to_string(m_newLoad->usedCpu) },
-            { "serving", std::to_string(m_newLoad->servingCpu) },
-            { "waiting", std::to_string(m_newLoad->waitingCpu) },
-            { "waiting_work", std::to_string(m_newLoad->waitingWork) } });
+            { "capacity", std::to_string(m_pendingLoad->capacityCpu) },
+            { "used", std::to_string(m_pendingLoad->usedCpu) },
+            { "serving", std::to_string(m_pendingLoad->servingCpu) },
+            { "waiting", std::to_string(m_pendingLoad->waitingCpu) },
+            { "waiting_work", std::to_string(m_pendingLoad->waitingWork) } });
 }
 
-LedgerBatch PoolHolder::collect()
+LedgerBatch PoolHolder::collectBatch()
 {
     LedgerBatch batch;
-    if (m_newLoad) {
-        m_load = *m_newLoad;
-        m_newLoad.reset();
-        batch.writes.push_back({ std::string(controlTable), std::string(loadKey), encodeLoad(m_load) });
+    if (m_pendingLoad) {
+        m_publishedLoad = *m_pendingLoad;
+        m_pendingLoad.reset();
+        batch.writes.push_back(
+            { std::string(controlTable), std::string(loadKey), encodeLoad(m_publishedLoad) });
     }
-    bool all = true;
+    bool isComplete = true;
     for (auto& [id, job] : m_state.jobs) {
         if (!job.dirty)
             continue;
-        if (batch.writes.size() + reservedEntries + writesPerJob > maxTransactionEntries) {
-            all = false;
+        if (batch.writes.size() + reservedEntries + maxWritesPerJob > maxTransactionEntries) {
+            isComplete = false;
             break;
         }
         appendProgress(job, batch.writes);
         batch.jobs.insert(id);
-        m_writing.insert(id);
+        m_jobsInTransaction.insert(id);
         job.dirty = false;
     }
-    // Ends are covered only once every job that they changed is written.
-    if (all) {
+    // Completions are durable only once every job that they changed is written.
+    if (isComplete) {
         for (const auto& [name, vm] : m_state.vms) {
             if (vm.applied > vm.acknowledged)
-                batch.ends.emplace(name, CoveredEnds { vm.born, vm.applied });
+                batch.completions.emplace(name, DurableCompletions { vm.born, vm.applied });
         }
     }
     return batch;
@@ -306,11 +311,11 @@
 
 void PoolHolder::onCommitted(const LedgerBatch& batch)
 {
-    m_writing.clear();
-    for (const auto& [name, ends] : batch.ends) {
+    m_jobsInTransaction.clear();
+    for (const auto& [name, completions] : batch.completions) {
         auto found = m_state.vms.find(name);
-        if (found != m_state.vms.end() && found->second.born == ends.born)
-            found->second.acknowledged = std::max(found->second.acknowledged, ends.number);
+        if (found != m_state.vms.end() && found->second.born == completions.bootTime)
+            found->second.acknowledged = std::max(found->second.acknowledged, completions.lastNumber);
     }
     for (const auto& id : batch.jobs) {
         const auto found = m_state.jobs.find(id);
@@ -318,13 +323,13 @@
             continue;
         found->second.begun = true;
         if (isFinal(found->second.state) && !found->second.dirty)
-            noteEnded(found->second);
+            recordJobEnd(found->second);
     }
     markDirtyIfNeeded();
-    wake(microseconds(0));
+    scheduleReconcile(microseconds(0));
 }
 
-void PoolHolder::noteEnded(const JobEntry& job)
+void PoolHolder::recordJobEnd(const JobEntry& job)
 {
     const std::string state(nameOf(jobStateNames, job.state));
     if (!hasOneObjective(job.spec)) {
@@ -335,25 +340,25 @@
     const auto wallNow = std::chrono::duration_cast<WallTime>(m_context.clock.wallNow().time_since_epoch());
     const auto queue = m_state.queues.find(job.spec.queue);
     const auto objective = objectiveSpan(job, queue == m_state.queues.end() ? nullptr : &queue->second);
-    const auto took = wallNow - job.spec.acceptedAt;
-    const std::string timeliness(nameOf(timelinessNames, timelinessOf(took, objective)));
-    // Zero if an earlier holder has started all of it.
-    const auto ran = job.firstStart == TimePoint {}
+    const auto elapsed = wallNow - job.spec.acceptedAt;
+    const std::string timeliness(nameOf(timelinessNames, timelinessOf(elapsed, objective)));
+    // Zero if earlier holders started all of its tasks.
+    const auto runTime = job.firstStart == TimePoint {}
         ? milliseconds(0)
         : std::chrono::duration_cast<milliseconds>(m_context.clock.now() - job.firstStart);
     m_context.metrics.count(
         "jobs_ended_total{pool=\"" + m_state.pool + "\",timeliness=\"" + timeliness + "\"}");
     logEvent(LogLevel::Info, "job_ended",
         { { "job", job.spec.id }, { "pool", m_state.pool }, { "state", state }, { "timeliness", timeliness },
-            { "took_ms", std::to_string(took.count()) },
+            { "took_ms", std::to_string(elapsed.count()) },
             { "objective_ms", std::to_string(objective.count()) },
-            { "ran_ms", std::to_string(ran.count()) } });
+            { "ran_ms", std::to_string(runTime.count()) } });
 }
 
 void PoolHolder::onFailed(const LedgerBatch& batch)
 {
-    m_writing.clear();
-    m_load = PoolLoad {}; // written again
+    m_jobsInTransaction.clear();
+    m_publishedLoad = PoolLoad {}; // so that publishLoad() writes it again
     for (const auto& id : batch.jobs) {
         auto found = m_state.jobs.find(id);
         if (found == m_state.jobs.end())
@@ -363,7 +368,7 @@
     }
 }
 
-void PoolHolder::forgetEnded()
+void PoolHolder::removeEndedJobs()
 {
     std::set<std::string> running;
     for (const auto& [name, vm] : m_state.vms) {
@@ -371,14 +376,14 @@
             running.insert(run.job);
     }
     std::erase_if(m_state.jobs, [&](const auto& entry) {
-        const bool over = isFinal(entry.second.state) && !entry.second.dirty && !running.contains(entry.first)
-            && !m_writing.contains(entry.first);
-        if (over)
-            m_forgotten.insert(entry.first);
-        return over;
+        const bool isRemovable = isFinal(entry.second.state) && !entry.second.dirty
+            && !running.contains(entry.first) && !m_jobsInTransaction.contains(entry.first);
+        if (isRemovable)
+            m_removedJobs.insert(entry.first);
+        return isRemovable;
     });
-    // The directory lags; a job counts as unknown only once its end is there.
-    std::erase_if(m_forgotten, [&](const std::string& id) {
+    // The directory lags behind. Until it shows the end of a removed job, applyJob() must not add it again.
+    std::erase_if(m_removedJobs, [&](const std::string& id) {
         const auto* record = m_context.directory.find(id);
         return !record || isFinal(record->state);
     });
--- a/src/libfleet/pool_holder_calls.cpp
+++ b/src/libfleet/pool_holder_calls.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The holder's calls to the VMs of its pool, and what it makes of their answers.
+/// The pool holder's requests to the VMs of its pool, and the handling of their answers.
 #include <damaskworks/log.h>
 #include <damaskworks/pool_holder.h>
 #include <damaskworks/pool_plan.h>
@@ -7,27 +7,28 @@
 namespace damask::fleet {
 namespace {
 
-/// Pause after a call without an answer, and between calls that return at once.
-constexpr milliseconds holdPause { 200 };
-/// Longest delay of a renewal while ends wait to become durable; a VM's lease lasts several times this.
-constexpr milliseconds longestAcknowledgementWait { 300 };
+/// Delay after a hold request without an answer, and between hold requests that return at once.
+constexpr milliseconds holdRetryDelay { 200 };
+/// Longest delay of a hold request, and so of the VM's lease renewal, while completions become durable. A
+/// VM's lease lasts several times as long.
+constexpr milliseconds maxAckDelay { 300 };
 
 } // namespace
 
-VmTarget PoolHolder::target(const VmState& vm) const
+VmTarget PoolHolder::makeTarget(const VmState& vm) const
 {
-    return { vm.entry.address, vm.entry.id, m_ledger.fence() };
+    return { vm.entry.address, vm.entry.id, m_ledger.fencingToken() };
 }
 
-void PoolHolder::noteOutcome(const std::string& vm, OrderOutcome outcome)
+void PoolHolder::handleOrderOutcome(const std::string& vm, OrderOutcome outcome)
 {
     if (outcome == OrderOutcome::Superseded) {
         logEvent(LogLevel::Warning, "order_superseded",
-            { { "pool", m_state.pool }, { "vm", vm }, { "fence", std::to_string(m_ledger.fence()) } });
-        m_ledger.raiseFence();
+            { { "pool", m_state.pool }, { "vm", vm }, { "fence", std::to_string(m_ledger.fencingToken()) } });
+        m_ledger.raiseFencingToken();
     }
     if (outcome == OrderOutcome::WrongVm) {
-        // What ran under that id has ended with its VM.
+        // The VM has ended, and all its runs with it.
         auto found = m_state.vms.find(vm);
         if (found == m_state.vms.end())
             return;
@@ -44,12 +45,12 @@
         logEvent(LogLevel::Info, "task_stop",
             { { "task", toString(stop.task) }, { "run", std::to_string(stop.run) }, { "vm", stop.vm } });
         m_context.endpoints.stop(
-            target(vm), stop.task, stop.run, [this, stop, alive = m_alive](OrderOutcome outcome) {
+            makeTarget(vm), stop.task, stop.run, [this, stop, alive = m_alive](OrderOutcome outcome) {
                 if (!*alive || m_ended)
                     return;
-                noteOutcome(stop.vm, outcome);
+                handleOrderOutcome(stop.vm, outcome);
                 applyStopOutcome(m_state, stop.vm, stop.task, stop.run, outcome, m_context.clock.now());
-                wake(passDelay);
+                scheduleReconcile(reconcileDelay);
             });
     }
 }
@@ -61,14 +62,14 @@
         const auto& vm = m_state.vms.find(start.vm)->second;
         m_context.metrics.count("task_starts_total{pool=\"" + m_state.pool + "\"}");
         m_context.endpoints.start(
-            target(vm), start.order, [this, start, now, alive = m_alive](OrderOutcome outcome) {
+            makeTarget(vm), start.order, [this, start, now, alive = m_alive](OrderOutcome outcome) {
                 if (*alive && !m_ended)
-                    onStarted(start, outcome, now);
+                    onStartOutcome(start, outcome, now);
             });
     }
 }
 
-void PoolHolder::onStarted(const StartAction& start, OrderOutcome outcome, TimePoint sentAt)
+void PoolHolder::onStartOutcome(const StartAction& start, OrderOutcome outcome, TimePoint sentAt)
 {
     const auto now = m_context.clock.now();
     m_context.metrics.count(
@@ -76,51 +77,53 @@
     m_context.metrics.observe("task_start_seconds", now - sentAt);
     logEvent(LogLevel::Info, "task_start",
         { { "task", toString(start.order.task) }, { "run", std::to_string(start.order.run) },
-            { "vm", start.vm }, { "fence", std::to_string(m_ledger.fence()) },
+            { "vm", start.vm }, { "fence", std::to_string(m_ledger.fencingToken()) },
             { "outcome", std::string(nameOf(orderOutcomeNames, outcome)) } });
-    noteOutcome(start.vm, outcome);
+    handleOrderOutcome(start.vm, outcome);
     applyStartOutcome(m_state, start.vm, start.order.task, start.order.run, outcome, now);
     if (outcome != OrderOutcome::Accepted)
-        wake(passDelay);
+        scheduleReconcile(reconcileDelay);
 }
 
-bool PoolHolder::wantsHold(const VmState& vm, Link& link, TimePoint now)
+bool PoolHolder::needsHold(const VmState& vm, HoldState& holdState, TimePoint now)
 {
-    if (link.holding)
+    if (holdState.isInFlight)
         return false;
-    const bool acknowledges = vm.applied > link.sentAcknowledgement;
-    if (vm.read && vm.runs.empty() && vm.strangers.empty() && !acknowledges && !vm.silent)
+    const bool hasUnsentAck = vm.applied > holdState.lastAckSent;
+    if (vm.read && vm.runs.empty() && vm.strangers.empty() && !hasUnsentAck && !vm.silent)
         return false;
-    if (now < link.nextHold)
+    if (now < holdState.nextHoldAt)
         return false;
-    // The next call waits until the ends of the last one are durable, so that it acknowledges them.
+    // The next request waits until the completions that the last one returned are durable, so that it can
+    // acknowledge them.
     if (vm.applied <= vm.acknowledged)
         return true;
-    if (link.unacknowledgedSince == TimePoint {})
-        link.unacknowledgedSince = now;
-    return now - link.unacknowledgedSince >= longestAcknowledgementWait;
+    if (holdState.ackPendingSince == TimePoint {})
+        holdState.ackPendingSince = now;
+    return now - holdState.ackPendingSince >= maxAckDelay;
 }
 
 void PoolHolder::sendHolds(TimePoint now)
 {
     for (auto& [name, vm] : m_state.vms) {
-        auto& link = m_links[name];
-        if (wantsHold(vm, link, now))
-            sendHold(name, vm, link, now);
+        auto& holdState = m_holdStates[name];
+        if (needsHold(vm, holdState, now))
+            sendHold(name, vm, holdState, now);
     }
-    std::erase_if(
-        m_links, [&](const auto& link) { return !m_state.vms.contains(link.first) && !link.second.holding; });
+    std::erase_if(m_holdStates, [&](const auto& holdState) {
+        return !m_state.vms.contains(holdState.first) && !holdState.second.isInFlight;
+    });
 }
 
-void PoolHolder::sendHold(const std::string& name, VmState& vm, Link& link, TimePoint now)
+void PoolHolder::sendHold(const std::string& name, VmState& vm, HoldState& holdState, TimePoint now)
 {
     const auto order = planHold(vm, m_state.limits, now);
-    link.holding = true;
-    link.unacknowledgedSince = TimePoint {};
-    link.sentAcknowledgement = vm.acknowledged;
+    holdState.isInFlight = true;
+    holdState.ackPendingSince = TimePoint {};
+    holdState.lastAckSent = vm.acknowledged;
     m_context.metrics.count("vm_holds_total{pool=\"" + m_state.pool + "\"}");
-    m_context.endpoints.hold(
-        target(vm), order, [this, name, now, alive = m_alive](tl::expected<VmReport, OrderOutcome> report) {
+    m_context.endpoints.hold(makeTarget(vm), order,
+        [this, name, now, alive = m_alive](tl::expected<VmReport, OrderOutcome> report) {
             if (*alive && !m_ended)
                 onReport(name, std::move(report), now);
         });
@@ -130,8 +133,8 @@
     const std::string& name, tl::expected<VmReport, OrderOutcome> report, TimePoint sentAt)
 {
     const auto now = m_context.clock.now();
-    auto& link = m_links[name];
-    link.holding = false;
+    auto& holdState = m_holdStates[name];
+    holdState.isInFlight = false;
     auto found = m_state.vms.find(name);
     if (found == m_state.vms.end())
         return;
@@ -143,19 +146,19 @@
                     { "outcome", std::string(nameOf(orderOutcomeNames, report.error())) },
                     { "runs", std::to_string(vm.runs.size()) } });
         applySilence(m_state, name);
-        noteOutcome(name, report.error());
-        link.nextHold = now + holdPause;
-        return wake(holdPause);
+        handleOrderOutcome(name, report.error());
+        holdState.nextHoldAt = now + holdRetryDelay;
+        return scheduleReconcile(holdRetryDelay);
     }
     if (vm.silent)
         logEvent(LogLevel::Info, "vm_back", { { "vm", name }, { "pool", m_state.pool } });
     const auto before = vm.applied;
-    const bool reborn = vm.read && vm.born != report->born;
+    const bool isRebooted = vm.read && vm.born != report->born;
     applyReport(m_state, name, *report, sentAt, now);
-    if (reborn)
-        link.sentAcknowledgement = 0;
+    if (isRebooted)
+        holdState.lastAckSent = 0;
     for (const auto& end : report->ended) {
-        if (end.number <= before && !reborn)
+        if (end.number <= before && !isRebooted)
             continue;
         logEvent(LogLevel::Info, "task_end",
             { { "task", toString(end.task) }, { "run", std::to_string(end.run) }, { "vm", name },
@@ -164,9 +167,10 @@
     sendPaces(name, now);
     if (vm.applied > vm.acknowledged)
         m_ledger.markDirty();
-    // Ends that can't be made durable yet are listed again at once; don't ask in a busy loop.
-    link.nextHold = vm.applied == before && !report->ended.empty() ? now + holdPause : now;
-    wake(passDelay);
+    // The VM returns completions at once until they are acknowledged. While the ledger can't make them
+    // durable, a pause avoids a busy loop.
+    holdState.nextHoldAt = vm.applied == before && !report->ended.empty() ? now + holdRetryDelay : now;
+    scheduleReconcile(reconcileDelay);
 }
 
 void PoolHolder::sendPaces(const std::string& name, TimePoint now)
@@ -175,10 +179,10 @@
         const auto& vm = m_state.vms.find(name)->second;
         logEvent(LogLevel::Info, "task_pace",
             { { "task", toString(pace.task) }, { "vm", name }, { "percent", std::to_string(pace.percent) } });
-        m_context.endpoints.pace(target(vm), pace.task, pace.run, pace.percent,
+        m_context.endpoints.pace(makeTarget(vm), pace.task, pace.run, pace.percent,
             [this, name, alive = m_alive](OrderOutcome outcome) {
                 if (*alive && !m_ended)
-                    noteOutcome(name, outcome);
+                    handleOrderOutcome(name, outcome);
             });
     }
 }
--- a/src/libfleet/pool_lease.cpp
+++ b/src/libfleet/pool_lease.cpp
@@ -10,14 +10,15 @@
 
 namespace {
 
-/// Above the interval at which leases are looked at, so that a node with fewer pools is through first.
+/// Longer than the interval at which nodes check leases, so that a node with fewer pools completes its
+/// attempt first.
 constexpr milliseconds delayPerHeldPool { 250 };
-constexpr milliseconds delaySpread { 100 };
-/// Delay of a node with one core; one with a tenth waits ten times as long.
-constexpr milliseconds delayPerCore { 30 };
-/// Delay of a node with a link of 1 Mbit/s. A holder's orders and reports come to several Mbit/s at
-/// the sizes of the grown sites, so that a link of 10 should hold a pool only when no other node can.
-constexpr milliseconds delayPerMbps { 10000 };
+constexpr milliseconds maxJitter { 100 };
+/// Delay of a node with one core; a node with a tenth of a core waits ten times as long.
+constexpr milliseconds delayAtOneCore { 30 };
+/// Delay of a node with a link of 1 Mbit/s. On large sites a holder's orders and reports take several
+/// Mbit/s, so a node with a 10 Mbit/s link should hold a pool only when no other node can.
+constexpr milliseconds delayAtOneMbps { 10000 };
 
 } // namespace
 
@@ -41,20 +42,21 @@
     }
 }
 
-bool isTakeable(const ObservedLease& lease, std::string_view node, const LeaseLimits& limits, TimePoint now)
+bool isAcquirable(const ObservedLease& lease, std::string_view node, const LeaseTiming& timing, TimePoint now)
 {
     if (lease.version == 0 || lease.row.node.empty() || lease.row.node == node)
         return true;
-    return now - lease.changedAt >= limits.expiry;
+    return now - lease.changedAt >= timing.expiry;
 }
 
-milliseconds electionDelay(std::size_t heldPools, const NodeStrength& node, double spread)
+milliseconds electionDelay(std::size_t heldPools, const NodeCapacity& node, double jitter)
 {
-    const auto weakness
-        = std::chrono::duration<double, std::milli>(delayPerCore) / std::max(node.cpuShare, 0.01)
-        + std::chrono::duration<double, std::milli>(delayPerMbps) / std::max(node.linkMbps, 1.0);
-    return std::chrono::duration_cast<milliseconds>(weakness) + delayPerHeldPool * static_cast<int>(heldPools)
-        + std::chrono::duration_cast<milliseconds>(delaySpread * spread);
+    const auto capacityDelay
+        = std::chrono::duration<double, std::milli>(delayAtOneCore) / std::max(node.cpuShare, 0.01)
+        + std::chrono::duration<double, std::milli>(delayAtOneMbps) / std::max(node.linkMbps, 1.0);
+    return std::chrono::duration_cast<milliseconds>(capacityDelay)
+        + delayPerHeldPool * static_cast<int>(heldPools)
+        + std::chrono::duration_cast<milliseconds>(maxJitter * jitter);
 }
 
 } // namespace damask::fleet
--- a/src/libfleet/pool_lease_test.cpp
+++ b/src/libfleet/pool_lease_test.cpp
@@ -1,4 +1,4 @@
-/// Who may take a pool's lease, and who tries first.
+/// Which node may acquire a pool's lease, and which tries first.
 #include <damaskworks/pool_lease.h>
 
 #include <boost/test/unit_test.hpp>
@@ -7,43 +7,43 @@
 using namespace damask::fleet;
 using namespace std::chrono_literals;
 
-BOOST_AUTO_TEST_CASE(leaseIsTakenOnlyAfterItsExpiryOrByItsOwnNode)
+BOOST_AUTO_TEST_CASE(leaseCanBeAcquiredAfterExpiryOrByItsOwnNode)
 {
     ManualClock clock;
-    const LeaseLimits limits;
+    const LeaseTiming timing;
     const ObservedLease lease { { "n1", "s1", 3, 5 }, 17, clock.now() };
-    BOOST_TEST(isTakeable(lease, "n1", limits, clock.now()));
-    BOOST_TEST(!isTakeable(lease, "n2", limits, clock.now()));
-    clock.advance(limits.expiry - 1ms);
-    BOOST_TEST(!isTakeable(lease, "n2", limits, clock.now()));
+    BOOST_TEST(isAcquirable(lease, "n1", timing, clock.now()));
+    BOOST_TEST(!isAcquirable(lease, "n2", timing, clock.now()));
+    clock.advance(timing.expiry - 1ms);
+    BOOST_TEST(!isAcquirable(lease, "n2", timing, clock.now()));
     clock.advance(1ms);
-    BOOST_TEST(isTakeable(lease, "n2", limits, clock.now()));
+    BOOST_TEST(isAcquirable(lease, "n2", timing, clock.now()));
 }
 
-BOOST_AUTO_TEST_CASE(releasedLeaseIsTakenAtOnce)
+BOOST_AUTO_TEST_CASE(releasedLeaseCanBeAcquiredAtOnce)
 {
     ManualClock clock;
     const ObservedLease lease { { "", "s1", 3, 5 }, 17, clock.now() };
-    BOOST_TEST(isTakeable(lease, "n2", LeaseLimits {}, clock.now()));
+    BOOST_TEST(isAcquirable(lease, "n2", LeaseTiming {}, clock.now()));
 }
 
-BOOST_AUTO_TEST_CASE(holderStopsBeforeOthersMayTakeItsLease)
+BOOST_AUTO_TEST_CASE(holderRenewsAndStopsBeforeItsLeaseExpires)
 {
-    const LeaseLimits limits;
-    BOOST_TEST((limits.renewal * 3 <= limits.expiry));
-    BOOST_TEST((limits.margin > 0ms));
+    const LeaseTiming timing;
+    BOOST_TEST((timing.renewalInterval * 3 <= timing.expiry));
+    BOOST_TEST((timing.safetyMargin > 0ms));
 }
 
-BOOST_AUTO_TEST_CASE(strongNodesTakePoolsBeforeWeakOnes)
+BOOST_AUTO_TEST_CASE(largeNodesTryBeforeSmallOnes)
 {
-    // On a calm grown day a node with 10 Mbit/s held the busiest pool; its orders came seconds late.
-    const NodeStrength strong { 0.5, 200 };
-    const NodeStrength weak { 0.12, 10 };
-    BOOST_TEST((electionDelay(3, strong, 1) < electionDelay(0, weak, 0)));
-    BOOST_TEST((electionDelay(0, strong, 1) < electionDelay(1, strong, 0)));
+    // On a large site a node with a 10 Mbit/s link held the busiest pool, and its orders came seconds late.
+    const NodeCapacity largeNode { 0.5, 200 };
+    const NodeCapacity smallNode { 0.12, 10 };
+    BOOST_TEST((electionDelay(3, largeNode, 1) < electionDelay(0, smallNode, 0)));
+    BOOST_TEST((electionDelay(0, largeNode, 1) < electionDelay(1, largeNode, 0)));
 }
 
-BOOST_AUTO_TEST_CASE(leaseRowIsReadAsItWasWritten)
+BOOST_AUTO_TEST_CASE(leaseRowRoundTrips)
 {
     const LeaseRow row { "n1", "s1", 3, 5 };
     BOOST_TEST((decodeLease(encodeLease(row)) == row));
--- a/src/libfleet/pool_ledger.cpp
+++ b/src/libfleet/pool_ledger.cpp
@@ -9,35 +9,38 @@
 
 using std::chrono::milliseconds;
 
-/// Longest wait for a transaction. A slow table answers within about 0.6 s.
+/// A slow table answers within about 0.6 s.
 constexpr milliseconds commitTimeout { 900 };
-/// Changes are collected for this long, so that one transaction carries the ends of several tasks.
-constexpr milliseconds collectDelay { 15 };
+/// Changes within this time go into one transaction, which then records the completions of several tasks.
+constexpr milliseconds batchDelay { 15 };
 constexpr milliseconds retryDelay { 100 };
 
 } // namespace
 
 PoolLedger::PoolLedger(event_base* base, SharedTable& table, const Clock& clock, Metrics& metrics,
-    std::string pool, TakenLease lease, LeaseLimits limits, Events events)
+    std::string pool, AcquiredLease lease, LeaseTiming timing, Callbacks callbacks)
     : m_table(table)
     , m_clock(clock)
     , m_metrics(metrics)
     , m_pool(std::move(pool))
     , m_lease(std::move(lease.row))
-    , m_version(lease.version)
-    , m_fence(lease.version)
-    , m_limits(limits)
-    , m_events(std::move(events))
-    , m_timer(base, [this] { pump(); })
-    , m_validUntil(lease.sentAt + limits.expiry - limits.margin)
-    , m_nextRenewal(lease.sentAt + limits.renewal)
+    , m_leaseVersion(lease.version)
+    , m_fencingToken(lease.version)
+    , m_timing(timing)
+    , m_callbacks(std::move(callbacks))
+    , m_timer(base, [this] { sendNext(); })
+    , m_leaseValidUntil(lease.sentAt + timing.expiry - timing.safetyMargin)
+    , m_nextRenewal(lease.sentAt + timing.renewalInterval)
 {
-    pumpAfter(limits.renewal);
+    scheduleNext(timing.renewalInterval);
 }
 
 PoolLedger::~PoolLedger() { *m_alive = false; }
 
-bool PoolLedger::mayOrder() const { return !m_ended && !m_releasing && m_clock.now() < m_validUntil; }
+bool PoolLedger::isLeaseValid() const
+{
+    return !m_ended && !m_releasing && m_clock.now() < m_leaseValidUntil;
+}
 
 void PoolLedger::markDirty()
 {
@@ -45,52 +48,52 @@
         return;
     m_dirty = true;
     m_dirtySince = m_clock.now();
-    if (m_call == Call::None)
-        pumpAfter(collectDelay);
+    if (m_inFlight == Request::None)
+        scheduleNext(batchDelay);
 }
 
 void PoolLedger::release()
 {
     m_releasing = true;
-    pump();
+    sendNext();
 }
 
-void PoolLedger::raiseFence()
+void PoolLedger::raiseFencingToken()
 {
-    if (m_raiseFence)
+    if (m_raiseTokenOnRenewal)
         return;
-    m_raiseFence = true;
+    m_raiseTokenOnRenewal = true;
     m_nextRenewal = m_clock.now();
-    pump();
+    sendNext();
 }
 
-void PoolLedger::pumpAfter(milliseconds delay) { m_timer.startOnce(delay); }
+void PoolLedger::scheduleNext(milliseconds delay) { m_timer.startOnce(delay); }
 
-void PoolLedger::pump()
+void PoolLedger::sendNext()
 {
-    if (m_call != Call::None || m_ended)
+    if (m_inFlight != Request::None || m_ended)
         return;
     const auto now = m_clock.now();
     if (m_mustRenew || (now >= m_nextRenewal && !m_releasing))
         return renew();
-    if (m_dirty && (m_releasing || now >= m_dirtySince + collectDelay))
+    if (m_dirty && (m_releasing || now >= m_dirtySince + batchDelay))
         return writeProgress();
     if (m_releasing)
         return sendRelease();
-    auto wake = m_nextRenewal;
+    auto next = m_nextRenewal;
     if (m_dirty)
-        wake = std::min(wake, m_dirtySince + collectDelay);
-    pumpAfter(std::max(milliseconds(1), std::chrono::ceil<milliseconds>(wake - now)));
+        next = std::min(next, m_dirtySince + batchDelay);
+    scheduleNext(std::max(milliseconds(1), std::chrono::ceil<milliseconds>(next - now)));
 }
 
-void PoolLedger::send(Call call, TableTransaction transaction, TableCallback<Version> callback)
+void PoolLedger::send(Request request, TableTransaction transaction, TableCallback<Version> callback)
 {
-    m_call = call;
+    m_inFlight = request;
     m_table.commit(transaction, commitTimeout,
         [this, alive = m_alive, callback = std::move(callback)](TableResult<Version> result) {
             if (!*alive || m_ended)
                 return;
-            m_call = Call::None;
+            m_inFlight = Request::None;
             if (!result)
                 m_metrics.count("ledger_failures_total{pool=\"" + m_pool + "\",failure=\""
                     + std::string(nameOf(tableFailureNames, result.error())) + "\"}");
@@ -102,7 +105,8 @@
 {
     const std::string table(controlTable);
     const std::string key(leaseKey);
-    return { rows::poolPart(m_pool), { { table, key, m_version } }, { { table, key, encodeLease(row) } } };
+    return { rows::poolPart(m_pool), { { table, key, m_leaseVersion } },
+        { { table, key, encodeLease(row) } } };
 }
 
 void PoolLedger::renew()
@@ -110,50 +114,50 @@
     const auto sentAt = m_clock.now();
     auto row = m_lease;
     ++row.renewals;
-    send(Call::Renew, leaseTransaction(row), [this, row, sentAt](TableResult<Version> result) {
+    send(Request::RenewLease, leaseTransaction(row), [this, row, sentAt](TableResult<Version> result) {
         if (result) {
-            const bool regained = !mayOrder() && !m_releasing;
+            const bool hadExpired = !isLeaseValid() && !m_releasing;
             m_lease = row;
-            m_version = *result;
+            m_leaseVersion = *result;
             m_mustRenew = false;
-            if (m_raiseFence)
-                m_fence = *result;
-            m_raiseFence = false;
-            m_validUntil = sentAt + m_limits.expiry - m_limits.margin;
-            m_nextRenewal = sentAt + m_limits.renewal;
-            if (regained)
+            if (m_raiseTokenOnRenewal)
+                m_fencingToken = *result;
+            m_raiseTokenOnRenewal = false;
+            m_leaseValidUntil = sentAt + m_timing.expiry - m_timing.safetyMargin;
+            m_nextRenewal = sentAt + m_timing.renewalInterval;
+            if (hadExpired)
                 logEvent(LogLevel::Info, "lease_regained", { { "pool", m_pool } });
-            m_events.renewed();
-            return pump();
+            m_callbacks.renewed();
+            return sendNext();
         }
         if (result.error() == TableFailure::Conflict)
             return readLease();
         m_mustRenew = m_mustRenew || result.error() == TableFailure::Unknown;
         m_nextRenewal = m_clock.now() + retryDelay;
-        pumpAfter(retryDelay);
+        scheduleNext(retryDelay);
     });
 }
 
 void PoolLedger::writeProgress()
 {
-    auto batch = m_events.collect();
+    auto batch = m_callbacks.collect();
     m_dirty = false;
-    if (batch.writes.empty() && batch.ends.empty())
-        return pump();
-    if (batch.writes.empty()) { // ends that changed no job need no row
-        m_events.committed(batch);
-        return pump();
+    if (batch.writes.empty() && batch.completions.empty())
+        return sendNext();
+    if (batch.writes.empty()) { // completions that changed no job need no row
+        m_callbacks.committed(batch);
+        return sendNext();
     }
     TableTransaction transaction { rows::poolPart(m_pool),
-        { { std::string(controlTable), std::string(leaseKey), m_version } }, batch.writes };
+        { { std::string(controlTable), std::string(leaseKey), m_leaseVersion } }, batch.writes };
     m_metrics.count("ledger_rows_total{pool=\"" + m_pool + "\"}", batch.writes.size());
-    send(Call::Progress, std::move(transaction),
+    send(Request::WriteProgress, std::move(transaction),
         [this, batch = std::move(batch)](TableResult<Version> result) {
             if (result) {
-                m_events.committed(batch);
-                return pump();
+                m_callbacks.committed(batch);
+                return sendNext();
             }
-            m_events.failed(batch);
+            m_callbacks.failed(batch);
             if (result.error() == TableFailure::Conflict)
                 return readLease();
             m_mustRenew = m_mustRenew || result.error() == TableFailure::Unknown;
@@ -161,7 +165,7 @@
                 m_dirty = true;
                 m_dirtySince = m_clock.now();
             }
-            pumpAfter(retryDelay);
+            scheduleNext(retryDelay);
         });
 }
 
@@ -169,45 +173,46 @@
 {
     auto row = m_lease;
     row.node.clear();
-    send(Call::Release, leaseTransaction(row), [this](TableResult<Version> result) {
+    send(Request::ReleaseLease, leaseTransaction(row), [this](TableResult<Version> result) {
         if (result || result.error() == TableFailure::Conflict) {
             m_ended = true;
-            return m_events.released();
+            return m_callbacks.released();
         }
-        pumpAfter(retryDelay);
+        scheduleNext(retryDelay);
     });
 }
 
 void PoolLedger::readLease()
 {
-    m_call = Call::Read;
+    m_inFlight = Request::ReadLease;
     const std::string key(leaseKey);
     m_table.read(std::string(controlTable), rows::poolPart(m_pool), key, 1,
         [this, alive = m_alive](TableResult<TableRows> rows) {
             if (!*alive || m_ended)
                 return;
-            m_call = Call::None;
+            m_inFlight = Request::None;
             if (!rows) {
                 m_nextRenewal = m_clock.now() + retryDelay;
-                m_mustRenew = true; // the next conflict reads again
-                return pumpAfter(retryDelay);
+                m_mustRenew = true; // another conflict leads to another read
+                return scheduleNext(retryDelay);
             }
             const auto lease = rows->rows.empty() ? std::nullopt : decodeLease(rows->rows.front().value);
             if (!lease || lease->session != m_lease.session || lease->node != m_lease.node)
-                return lose();
-            // A renewal of ours committed although its answer was lost.
-            m_version = rows->rows.front().version;
+                return onLeaseLost();
+            // An earlier renewal by this node has committed although its answer was lost.
+            m_leaseVersion = rows->rows.front().version;
             m_lease = *lease;
             m_nextRenewal = m_clock.now();
-            pump();
+            sendNext();
         });
 }
 
-void PoolLedger::lose()
+void PoolLedger::onLeaseLost()
 {
     m_ended = true;
-    logEvent(LogLevel::Warning, "lease_lost", { { "pool", m_pool }, { "fence", std::to_string(m_fence) } });
-    m_events.lost();
+    logEvent(
+        LogLevel::Warning, "lease_lost", { { "pool", m_pool }, { "fence", std::to_string(m_fencingToken) } });
+    m_callbacks.lost();
 }
 
 } // namespace damask::fleet
--- a/src/libfleet/pool_ledger_test.cpp
+++ b/src/libfleet/pool_ledger_test.cpp
@@ -1,4 +1,5 @@
-/// Transactions of a holder when answers are lost, late or refused, and the lease changes hands.
+/// Transactions of a holder when commits fail, are delayed or lose their answer, and when another node
+/// acquires the lease.
 #include "fakes_test.h"
 
 #include <damaskworks/job_directory.h>
@@ -17,7 +18,7 @@
     SystemClock clock;
     Metrics metrics;
     FakeTable table { loop.base() };
-    std::string value = "first"; ///< written as the progress of job a1
+    std::string value = "first"; ///< to be written as the state of job a1
     bool written = false;
     int failures = 0;
     bool lost = false;
@@ -28,17 +29,17 @@
     {
         const LeaseRow row { "n1", "s1", 0, 0 };
         Version version = 0;
-        table.commit(leaseOf(row, 0), 1s, [&](TableResult<Version> result) { version = *result; });
+        table.commit(leaseTransaction(row, 0), 1s, [&](TableResult<Version> result) { version = *result; });
         loop.runUntil([&] { return version > 0; }, 1s);
         ledger = std::make_unique<PoolLedger>(loop.base(), table, clock, metrics, "pricing",
-            TakenLease { row, version, clock.now() }, LeaseLimits {},
-            PoolLedger::Events { [this] { return batch(); },
+            AcquiredLease { row, version, clock.now() }, LeaseTiming {},
+            PoolLedger::Callbacks { [this] { return batch(); },
                 [this](const LedgerBatch& done) { written = written || !done.jobs.empty(); },
                 [this](const LedgerBatch&) { ++failures; }, [] {}, [this] { lost = true; },
                 [this] { released = true; } });
     }
 
-    static TableTransaction leaseOf(const LeaseRow& row, Version expected)
+    static TableTransaction leaseTransaction(const LeaseRow& row, Version expected)
     {
         const std::string table(controlTable);
         const std::string key(leaseKey);
@@ -75,28 +76,28 @@
 
 BOOST_FIXTURE_TEST_SUITE(pool_ledger, LedgerFixture)
 
-BOOST_AUTO_TEST_CASE(lateTransactionCannotReplaceANewerOne)
+BOOST_AUTO_TEST_CASE(delayedTransactionCannotOverwriteANewerOne)
 {
-    table.faults = { CommitFault::Late };
+    table.faults = { CommitFault::Delayed };
     write("second");
     BOOST_TEST(failures == 1);
     BOOST_TEST(stored() == "second");
-    value = "changed by nobody";
-    BOOST_TEST(table.applyLate() == 0);
+    value = "must not be stored";
+    BOOST_TEST(table.applyDelayed() == 0);
     BOOST_TEST(stored() == "second");
 }
 
-BOOST_AUTO_TEST_CASE(renewalWhoseAnswerWasLostIsRecognized)
+BOOST_AUTO_TEST_CASE(holderRecognisesItsRenewalAfterLostAnswer)
 {
-    // The transaction is late, then the renewal that voids it is done but not answered.
-    table.faults = { CommitFault::Late, CommitFault::Lost };
+    // The write is delayed; then the renewal that invalidates it commits, but its answer is lost.
+    table.faults = { CommitFault::Delayed, CommitFault::AnswerLost };
     write("second");
     BOOST_TEST(!lost);
     BOOST_TEST(stored() == "second");
-    BOOST_TEST(table.applyLate() == 0);
+    BOOST_TEST(table.applyDelayed() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(refusedTransactionIsRepeated)
+BOOST_AUTO_TEST_CASE(refusedTransactionIsRetried)
 {
     table.faults = { CommitFault::Refused, CommitFault::Refused };
     write("second");
@@ -109,20 +110,20 @@
     const auto* row = table.find(std::string(controlTable), rows::poolPart("pricing"), std::string(leaseKey));
     BOOST_REQUIRE(row);
     bool taken = false;
-    table.commit(leaseOf({ "n2", "s2", 1, 0 }, row->version), 1s,
+    table.commit(leaseTransaction({ "n2", "s2", 1, 0 }, row->version), 1s,
         [&](TableResult<Version> result) { taken = result.has_value(); });
     BOOST_REQUIRE(loop.runUntil([&] { return taken; }, 1s));
     write("second");
     BOOST_TEST(lost);
-    BOOST_TEST(!ledger->mayOrder());
+    BOOST_TEST(!ledger->isLeaseValid());
     BOOST_TEST(stored() == "");
 }
 
-BOOST_AUTO_TEST_CASE(releaseWritesWhatIsLeftAndFreesTheLease)
+BOOST_AUTO_TEST_CASE(releaseWritesPendingProgressFirst)
 {
     ledger->markDirty();
     ledger->release();
-    BOOST_TEST(!ledger->mayOrder());
+    BOOST_TEST(!ledger->isLeaseValid());
     BOOST_REQUIRE(loop.runUntil([&] { return released; }, 2s));
     BOOST_TEST(stored() == "first");
     const auto* row = table.find(std::string(controlTable), rows::poolPart("pricing"), std::string(leaseKey));
--- a/src/libfleet/spec_reader.cpp
+++ b/src/libfleet/spec_reader.cpp
@@ -5,10 +5,10 @@
 namespace damask::fleet {
 namespace {
 
-/// Calls at once: an answer takes some 5 ms, so this is far beyond the jobs that come in a second, and
-/// leaves the table to others while a new holder reads a backlog.
-constexpr int mostOpen = 32;
-constexpr std::chrono::milliseconds retryPause { 100 };
+/// Limit of concurrent reads. An answer takes about 5 ms, so the throughput is far above the rate of new
+/// jobs. The limit leaves capacity of the table to others while a new holder reads a backlog.
+constexpr int maxOpenReads = 32;
+constexpr std::chrono::milliseconds retryDelay { 100 };
 
 } // namespace
 
@@ -16,49 +16,49 @@
     : m_table(table)
     , m_metrics(metrics)
     , m_onRead(std::move(onRead))
-    , m_timer(base, [this] { pump(); })
+    , m_timer(base, [this] { sendReads(); })
 {
 }
 
 SpecReader::~SpecReader() { *m_alive = false; }
 
-void SpecReader::want(std::string part, std::string job)
+void SpecReader::requestSpec(std::string part, std::string job)
 {
-    m_waiting.push_back({ std::move(part), std::move(job) });
-    pump();
+    m_queue.push_back({ std::move(part), std::move(job) });
+    sendReads();
 }
 
-void SpecReader::pump()
+void SpecReader::sendReads()
 {
-    while (m_open < mostOpen && !m_waiting.empty()) {
-        const auto wanted = std::move(m_waiting.front());
-        m_waiting.pop_front();
-        read(wanted);
+    while (m_openReads < maxOpenReads && !m_queue.empty()) {
+        const auto request = std::move(m_queue.front());
+        m_queue.pop_front();
+        read(request);
     }
 }
 
-void SpecReader::read(const Wanted& wanted)
+void SpecReader::read(const Request& request)
 {
-    ++m_open;
-    m_table.read(std::string(specTable), wanted.part, wanted.job, 1,
-        [this, alive = m_alive, wanted](const TableResult<TableRows>& rows) {
+    ++m_openReads;
+    m_table.read(std::string(specTable), request.part, request.job, 1,
+        [this, alive = m_alive, request](const TableResult<TableRows>& rows) {
             if (*alive)
-                onRows(wanted, rows);
+                onRows(request, rows);
         });
 }
 
-void SpecReader::onRows(const Wanted& wanted, const TableResult<TableRows>& rows)
+void SpecReader::onRows(const Request& request, const TableResult<TableRows>& rows)
 {
-    --m_open;
-    if (rows && !rows->rows.empty() && rows->rows.front().key == wanted.job) {
-        m_onRead(wanted.job, rows->rows.front().value);
-        return pump();
+    --m_openReads;
+    if (rows && !rows->rows.empty() && rows->rows.front().key == request.job) {
+        m_onRead(request.job, rows->rows.front().value);
+        return sendReads();
     }
     m_metrics.count("spec_read_failures_total");
-    if (rows) // written with the job's own row, so this is a row that somebody has removed
-        logEvent(LogLevel::Error, "spec_missing", { { "job", wanted.job }, { "part", wanted.part } });
-    m_waiting.push_back(wanted);
-    m_timer.startOnce(retryPause);
+    if (rows) // the spec is committed together with the job's row, so someone has deleted it
+        logEvent(LogLevel::Error, "spec_missing", { { "job", request.job }, { "part", request.part } });
+    m_queue.push_back(request);
+    m_timer.startOnce(retryDelay);
 }
 
 } // namespace damask::fleet
--- a/src/libfleet/step_advisor.cpp
+++ b/src/libfleet/step_advisor.cpp
@@ -15,20 +15,20 @@
 
 StepAdvisor::~StepAdvisor() { *m_alive = false; }
 
-void StepAdvisor::pass()
+void StepAdvisor::requestNext()
 {
-    if (m_open)
+    if (m_isRequestOpen)
         return;
     const auto question = planAdvice(m_state, m_clock.now());
     if (!question)
         return;
-    m_open = true;
+    m_isRequestOpen = true;
     m_service.ask(question->step, question->vms, question->expected,
         [this, alive = m_alive, question = *question, sentAt = m_clock.now()](
             const tl::expected<Advice, OrderOutcome>& answer) {
             if (!*alive)
                 return;
-            m_open = false;
+            m_isRequestOpen = false;
             const auto now = m_clock.now();
             m_metrics.observe("advice_seconds", now - sentAt);
             logEvent(answer ? LogLevel::Info : LogLevel::Warning, "step_advice",
--- a/src/libfleet/table_follower.cpp
+++ b/src/libfleet/table_follower.cpp
@@ -8,12 +8,12 @@
 
 using std::chrono::milliseconds;
 
-/// Longest wait of one call for a change. Short, so that a connection that has gone silent is
-/// noticed well within the time in which a configuration has to be in force.
-constexpr milliseconds followWait { 1000 };
-constexpr int rowsPerRead = 500;
-constexpr milliseconds firstBackoff { 50 };
-constexpr milliseconds longestBackoff { 400 };
+/// Longest wait of one request for a change. It is short so that the follower detects a dead connection well
+/// within the time in which a new configuration must be in force.
+constexpr milliseconds maxFollowWait { 1000 };
+constexpr int rowsPerPage = 500;
+constexpr milliseconds initialBackoff { 50 };
+constexpr milliseconds maxBackoff { 400 };
 
 } // namespace
 
@@ -24,22 +24,22 @@
     , m_metrics(metrics)
     , m_settings(std::move(settings))
     , m_random(seed)
-    , m_timer(base, [this] { m_reload ? load() : follow(); })
+    , m_timer(base, [this] { m_needsReload ? startLoad() : follow(); })
 {
 }
 
-void TableFollower::listen(ResetListener onReset, ChangeListener onChange, BatchListener onBatch)
+void TableFollower::setListeners(ResetListener onReset, ChangeListener onChange, BatchListener onBatch)
 {
     m_onReset = std::move(onReset);
     m_onChange = std::move(onChange);
     m_onBatch = std::move(onBatch);
 }
 
-void TableFollower::start() { resume(milliseconds(0)); }
+void TableFollower::start() { scheduleNext(milliseconds(0)); }
 
-void TableFollower::resume(milliseconds delay) { m_timer.startOnce(delay); }
+void TableFollower::scheduleNext(milliseconds delay) { m_timer.startOnce(delay); }
 
-void TableFollower::succeed()
+void TableFollower::onSuccess()
 {
     if (m_failures > 0)
         logEvent(LogLevel::Info, "table_back",
@@ -48,51 +48,52 @@
     m_lastContact = m_clock.now();
 }
 
-void TableFollower::fail(TableFailure failure, bool reload)
+void TableFollower::onFailure(TableFailure failure, bool needsReload)
 {
     if (m_failures == 0)
         logEvent(LogLevel::Warning, "table_lost",
             { { "table", m_settings.table }, { "failure", std::string(nameOf(tableFailureNames, failure)) },
                 { "version", std::to_string(m_version) } });
     m_metrics.count("table_follow_failures_total{table=\"" + m_settings.table + "\"}");
-    m_reload = m_reload || reload;
-    const auto backoff = std::min(longestBackoff, firstBackoff * (1 << std::min(m_failures, 5)));
+    m_needsReload = m_needsReload || needsReload;
+    const auto backoff = std::min(maxBackoff, initialBackoff * (1 << std::min(m_failures, 5)));
     ++m_failures;
-    resume(backoff / 2 + milliseconds(m_random() % static_cast<std::uint64_t>(backoff.count())));
+    scheduleNext(backoff / 2 + milliseconds(m_random() % static_cast<std::uint64_t>(backoff.count())));
 }
 
-void TableFollower::load()
+void TableFollower::startLoad()
 {
-    m_loading.clear();
+    m_loadedRows.clear();
     m_partsToRead.clear();
     m_loadVersion = 0;
-    m_loadBegan = m_clock.now();
-    // The first answer's version is that of the load: later changes come with the feed as well.
+    m_loadStartedAt = m_clock.now();
+    // The version of the first answer is that of the load. Following from there repeats any later change that
+    // another page already contains.
     readPart("", "");
-    if (m_settings.manyParts)
-        m_partsToRead.push_back(""); // stands for the list of parts, read next
+    if (m_settings.isPartitioned)
+        m_partsToRead.push_back(""); // makes readNextPart() list the parts
 }
 
 void TableFollower::readPart(const std::string& part, const std::string& from)
 {
-    m_table.read(m_settings.table, part, from, rowsPerRead, [this, part](TableResult<TableRows> rows) {
+    m_table.read(m_settings.table, part, from, rowsPerPage, [this, part](TableResult<TableRows> rows) {
         if (!rows)
-            return fail(rows.error(), true);
-        succeed();
+            return onFailure(rows.error(), true);
+        onSuccess();
         if (m_loadVersion == 0)
             m_loadVersion = rows->version;
-        const bool more = rows->hasMore && !rows->rows.empty();
-        // The range begins with the key given, so the next page repeats this page's last row.
-        const std::string last = more ? rows->rows.back().key : "";
+        const bool hasMorePages = rows->hasMore && !rows->rows.empty();
+        // A read includes its first key; the suffix skips the last row of this page.
+        const std::string lastKey = hasMorePages ? rows->rows.back().key : "";
         for (auto& row : rows->rows)
-            m_loading.push_back(std::move(row));
-        if (more)
-            return readPart(part, last + '\x01');
-        nextPart();
+            m_loadedRows.push_back(std::move(row));
+        if (hasMorePages)
+            return readPart(part, lastKey + '\x01');
+        readNextPart();
     });
 }
 
-void TableFollower::nextPart()
+void TableFollower::readNextPart()
 {
     if (m_partsToRead.empty())
         return finishLoad();
@@ -103,30 +104,30 @@
 
 void TableFollower::listParts(const std::string& after)
 {
-    constexpr std::size_t namesPerAnswer = 1000;
+    constexpr std::size_t namesPerPage = 1000;
     m_table.parts(m_settings.table, after, [this](TableResult<std::vector<std::string>> names) {
         if (!names)
-            return fail(names.error(), true);
-        succeed();
+            return onFailure(names.error(), true);
+        onSuccess();
         for (const auto& name : *names) {
             if (!name.empty())
                 m_partsToRead.push_back(name);
         }
-        if (names->size() >= namesPerAnswer)
+        if (names->size() >= namesPerPage)
             return listParts(names->back());
-        nextPart();
+        readNextPart();
     });
 }
 
 void TableFollower::finishLoad()
 {
     m_version = std::max(m_version, m_loadVersion);
-    m_reload = false;
-    m_loaded = true;
-    m_freshAt = m_loadBegan;
+    m_needsReload = false;
+    m_isLoaded = true;
+    m_currentAsOf = m_loadStartedAt;
     if (m_onReset)
-        m_onReset(m_loading);
-    m_loading.clear();
+        m_onReset(m_loadedRows);
+    m_loadedRows.clear();
     if (m_onBatch)
         m_onBatch();
     follow();
@@ -134,19 +135,19 @@
 
 void TableFollower::follow()
 {
-    m_table.follow(
-        m_settings.table, m_version, followWait, [this, sentAt = m_clock.now()](TableResult<TableRows> rows) {
+    m_table.follow(m_settings.table, m_version, maxFollowWait,
+        [this, sentAt = m_clock.now()](TableResult<TableRows> rows) {
             if (!rows)
-                return fail(rows.error(), rows.error() == TableFailure::HistoryGone);
-            succeed();
-            // Without changes the table has waited for the whole time.
-            m_freshAt = rows->rows.empty() ? sentAt + followWait : sentAt;
-            take(*rows);
-            resume(rows->rows.empty() ? milliseconds(0) : m_settings.gap);
+                return onFailure(rows.error(), rows.error() == TableFailure::HistoryGone);
+            onSuccess();
+            // An answer without changes means that the table waited for the whole time.
+            m_currentAsOf = rows->rows.empty() ? sentAt + maxFollowWait : sentAt;
+            applyChanges(*rows);
+            scheduleNext(rows->rows.empty() ? milliseconds(0) : m_settings.pauseAfterChanges);
         });
 }
 
-void TableFollower::take(const TableRows& rows)
+void TableFollower::applyChanges(const TableRows& rows)
 {
     for (const auto& row : rows.rows) {
         if (row.version > m_version)
