--- a/src/libfleet/timed_table.cpp
+++ b/src/libfleet/timed_table.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Whether the table has dealt with a call, be it by an error.
+/// Returns whether the failure shows that the table has processed the call.
 bool isAnswer(TableFailure failure)
 {
     return failure == TableFailure::Conflict || failure == TableFailure::HistoryGone
@@ -24,20 +24,21 @@
 {
 }
 
-template <typename T> void TimedTable::note(const TableResult<T>& result)
+template <typename T> void TimedTable::recordOutcome(const TableResult<T>& result)
 {
     if (result || isAnswer(result.error()))
         noteContact(m_contact, m_clock.now());
     else if (result.error() == TableFailure::NotDone)
         noteNoContact(m_contact);
-    // An answer that was lost or not waited for says little: the table may have done its part, or be slow.
-    // Overload is told to all nodes when many read at once. If the table is gone, the silence will tell.
+    // Unknown and Overloaded count neither way. After a lost answer or a timeout the table may have processed
+    // the call, or may be slow; and it reports overload to all nodes when many read at once. If the table
+    // can't be reached, the time since the last answer shows it.
 }
 
-template <typename T> TableCallback<T> TimedTable::noting(TableCallback<T> callback)
+template <typename T> TableCallback<T> TimedTable::recordingOutcome(TableCallback<T> callback)
 {
     return [this, callback = std::move(callback)](TableResult<T> result) {
-        note(result);
+        recordOutcome(result);
         callback(std::move(result));
     };
 }
@@ -45,15 +46,15 @@
 void TimedTable::commit(
     const TableTransaction& transaction, milliseconds timeout, TableCallback<Version> callback)
 {
-    m_table->commit(transaction, patience(m_commits, timeout),
+    m_table->commit(transaction, patience(m_commitTimes, timeout),
         [this, sentAt = m_clock.now(), callback = std::move(callback)](TableResult<Version> result) {
-            const auto time = m_clock.now() - sentAt;
-            m_metrics.observe("table_commit_seconds", time);
+            const auto responseTime = m_clock.now() - sentAt;
+            m_metrics.observe("table_commit_seconds", responseTime);
             if (!result && result.error() == TableFailure::Unknown)
-                noteSilence(m_commits);
+                noteSilence(m_commitTimes);
             else
-                noteAnswer(m_commits, time);
-            note(result);
+                noteAnswer(m_commitTimes, responseTime);
+            recordOutcome(result);
             callback(result);
         });
 }
@@ -61,19 +62,19 @@
 void TimedTable::read(const std::string& table, const std::string& part, const std::string& from, int limit,
     TableCallback<TableRows> callback)
 {
-    m_table->read(table, part, from, limit, noting(std::move(callback)));
+    m_table->read(table, part, from, limit, recordingOutcome(std::move(callback)));
 }
 
 void TimedTable::parts(
     const std::string& table, const std::string& after, TableCallback<std::vector<std::string>> callback)
 {
-    m_table->parts(table, after, noting(std::move(callback)));
+    m_table->parts(table, after, recordingOutcome(std::move(callback)));
 }
 
 void TimedTable::follow(
     const std::string& table, Version after, milliseconds wait, TableCallback<TableRows> callback)
 {
-    m_table->follow(table, after, wait, noting(std::move(callback)));
+    m_table->follow(table, after, wait, recordingOutcome(std::move(callback)));
 }
 
 } // namespace damask::fleet
