--- a/src/include/damaskworks/fleet_node.h
+++ b/src/include/damaskworks/fleet_node.h
@@ -60,7 +60,8 @@
     /// Called after each batch of control rows, which FleetRows and the election have already applied.
     void onControlRowsApplied();
     void onLeaseAcquired(const std::string& pool, const AcquiredLease& lease);
-    /// Begins the holders and the coordinator for which all tables have been read far enough.
+    /// Calls begin() on the holders and the coordinator once the node has read the tables up to their
+    /// acquiredVersion().
     void beginReadyHolders();
     void dropEndedHolders();
     /// Returns whether the node has what it needs to serve callers and to run pools.
--- a/src/include/damaskworks/machine_coordinator.h
+++ b/src/include/damaskworks/machine_coordinator.h
@@ -53,8 +53,8 @@
     const FleetRows& rows;
 };
 
-/// Plans machine tasks (maintenance and moves), orders them from the platform and reports finished waves.
-/// Each task is durable in the table before the coordinator acts on it.
+/// Plans machine tasks (maintenance and moves), sends the orders to the platform and reports finished waves.
+/// The coordinator records each task in the table before it sends the order.
 class MachineCoordinator {
 public:
     /// Calls \p onEnd once, when the lease is lost or released.
@@ -113,9 +113,9 @@
     std::set<std::int64_t> m_committedWaves; ///< waves whose rows are up to date
     std::set<std::string> m_changedTasks; ///< machines whose task rows must be written
     std::map<std::string, TimePoint> m_nextOrderAt; ///< by machine, earliest time of the next attempt
-    std::set<std::string> m_ordersInFlight; ///< machines
+    std::set<std::string> m_ordersInFlight; ///< machines with an unanswered order
     std::map<std::int64_t, bool> m_reported; ///< by wave, whether it was reported as completed
-    std::set<std::int64_t> m_statusWritesInFlight; ///< waves
+    std::set<std::int64_t> m_statusWritesInFlight; ///< waves with a status write in flight
     std::map<std::string, TimePoint> m_orderAcceptedAt; ///< by machine, when its order was accepted
     TimePoint m_nextListAt {};
     TimePoint m_listRequestedAt {}; ///< time of the last request for the machine list
--- a/src/libfleet/pool_election_test.cpp
+++ b/src/libfleet/pool_election_test.cpp
@@ -70,7 +70,7 @@
     // When one node held the coordinator and the busiest pool, both failed together with it.
     Nodes fleet(std::vector<NodeCapacity>(6));
     BOOST_REQUIRE(fleet.acquireAll({ "a", "b", "c", "d", "e", "f" }));
-    // Not exactly one: on a slow machine one node's second attempt may come before another's first.
+    // Not exactly one: on a slow test host one node's second attempt may come before another's first.
     for (const auto& node : fleet.nodes)
         BOOST_TEST(node.heldPools <= 2u);
 }
--- a/src/libfleet/pool_ledger_test.cpp
+++ b/src/libfleet/pool_ledger_test.cpp
@@ -109,10 +109,10 @@
 {
     const auto* row = table.find(std::string(controlTable), rows::poolPart("pricing"), std::string(leaseKey));
     BOOST_REQUIRE(row);
-    bool taken = false;
+    bool isAcquired = false;
     table.commit(leaseTransaction({ "n2", "s2", 1, 0 }, row->version), 1s,
-        [&](TableResult<Version> result) { taken = result.has_value(); });
-    BOOST_REQUIRE(loop.runUntil([&] { return taken; }, 1s));
+        [&](TableResult<Version> result) { isAcquired = result.has_value(); });
+    BOOST_REQUIRE(loop.runUntil([&] { return isAcquired; }, 1s));
     write("second");
     BOOST_TEST(lost);
     BOOST_TEST(!ledger->isLeaseValid());
