--- a/src/bench_requests/simulate.cpp
+++ b/src/bench_requests/simulate.cpp
@@ -77,7 +77,7 @@
         scheduleArrival();
         while (true) {
             const auto end = m_ends.empty() ? TimePoint::max() : m_ends.top().at;
-            const auto tick = request::nextDeadline(m_state);
+            const auto tick = request::nextTimerAt(m_state);
             m_now = std::max(m_now, std::min({ m_nextArrival, end, tick }));
             if (m_now == TimePoint::max())
                 return finish();
@@ -179,7 +179,7 @@
         m_open.erase(action.id);
     }
 
-    void carryOut(const request::Abandon&) { }
+    void carryOut(const request::CancelAttempt&) { }
 
     Result finish()
     {
--- a/src/damaskd/daemon.cpp
+++ b/src/damaskd/daemon.cpp
@@ -56,7 +56,7 @@
     out.lease.renewPeriod = length / 3;
     out.lease.safetyMargin = length / 6;
     out.lease.rankDelay = length / 6;
-    out.lease.contactLimit = length / 2;
+    out.lease.maxContactAge = length / 2;
     out.lease.minimumHold = length * 2;
     return out;
 }
--- a/src/damaskd/entry.cpp
+++ b/src/damaskd/entry.cpp
@@ -120,7 +120,7 @@
 {
     const auto id = m_nextId++;
     active.event.id = id;
-    active.exchange->onCallerGone([this, id] { handle(request::CallerGone { id }); });
+    active.exchange->onCallerGone([this, id] { handle(request::CallerDisconnected { id }); });
     const auto event = active.event;
     m_active.emplace(id, std::move(active));
     handle(event);
@@ -156,27 +156,27 @@
 
 void Entry::refuseKey(Active& active, const ClaimResult& result)
 {
-    using idempotency::Verdict;
+    using idempotency::RepeatDecision;
     const bool repeat = result.kind == ClaimResult::Kind::Claimed;
     m_metrics.count("damask_key_repeats_total{verdict=\""
-        + std::string(repeat ? nameOf(idempotency::verdictNames, result.verdict) : "key_unverifiable")
+        + std::string(repeat ? nameOf(idempotency::repeatDecisionNames, result.verdict) : "key_unverifiable")
         + "\"}");
     if (!repeat)
         return refuse(active, request::Reason::KeyUnverifiable);
-    if (result.verdict == Verdict::Replay) {
+    if (result.verdict == RepeatDecision::Replay) {
         HttpResponse response { result.answer->status, result.answer->headers, result.answer->body };
         response.headers.emplace_back("Idempotency-Replayed", "true");
         finishSpan(active.span, "replayed");
         return active.exchange->reply(std::move(response));
     }
-    if (result.verdict == Verdict::InUse)
+    if (result.verdict == RepeatDecision::InUse)
         return refuse(active, request::Reason::KeyInUse);
-    if (result.verdict == Verdict::OutcomeUnknown)
+    if (result.verdict == RepeatDecision::OutcomeUnknown)
         return refuse(active, request::Reason::KeyOutcomeUnknown);
-    const auto reason = nameOf(idempotency::verdictNames, result.verdict);
+    const auto reason = nameOf(idempotency::repeatDecisionNames, result.verdict);
     const nlohmann::json body = { { "outcome", "not-run" }, { "reason", reason } };
     finishSpan(active.span, reason);
-    active.exchange->reply({ result.verdict == Verdict::OtherRequest ? 422 : 409,
+    active.exchange->reply({ result.verdict == RepeatDecision::OtherRequest ? 422 : 409,
         { { "Content-Type", "application/json" }, { std::string(outcomeHeader), "not-run" } },
         body.dump() + "\n" });
 }
@@ -216,7 +216,7 @@
 {
     for (const auto& action : request::decide(m_state, event, m_clock.now()))
         std::visit([this](const auto& typed) { carryOut(typed); }, action);
-    if (const auto* gone = std::get_if<request::CallerGone>(&event)) {
+    if (const auto* gone = std::get_if<request::CallerDisconnected>(&event)) {
         // A request that was sent may have run, whoever still waits for it.
         if (auto found = m_active.find(gone->id); found != m_active.end()) {
             const bool sent = found->second.wasSent;
@@ -324,7 +324,7 @@
     active.exchange->reply(std::move(response));
 }
 
-void Entry::carryOut(const request::Abandon& action)
+void Entry::carryOut(const request::CancelAttempt& action)
 {
     auto found = m_active.find(action.id);
     if (found != m_active.end() && found->second.attempt)
@@ -351,7 +351,7 @@
 
 void Entry::scheduleTick()
 {
-    const auto deadline = request::nextDeadline(m_state);
+    const auto deadline = request::nextTimerAt(m_state);
     // A tick that comes too early finds nothing to do and is set anew, so it is only moved forward.
     if (deadline >= m_tickAt)
         return;
--- a/src/damaskd/entry_pools.cpp
+++ b/src/damaskd/entry_pools.cpp
@@ -143,7 +143,7 @@
             m_metrics.gauge("damask_pool_" + std::string(gauge) + labels, value);
         };
         set("slots", pool.usableSlots);
-        set("endpoints", double(pool.usable));
+        set("endpoints", double(pool.usableCount));
         set("retries", double(pool.counters.retries));
         set("retries_denied", double(pool.counters.retriesDenied));
         set("ejections", double(pool.counters.ejections));
--- a/src/damaskd/entry_pvt.h
+++ b/src/damaskd/entry_pvt.h
@@ -87,7 +87,7 @@
     void handle(const request::Event& event);
     void carryOut(const request::Dispatch& action);
     void carryOut(const request::Reply& action);
-    void carryOut(const request::Abandon& action);
+    void carryOut(const request::CancelAttempt& action);
     void attemptEnded(request::RequestId id, std::uint32_t attempt, HttpResult result);
     void answer(Active& active, const request::Reply& reply);
     void tick();
--- a/src/damaskd/keyed_requests.cpp
+++ b/src/damaskd/keyed_requests.cpp
@@ -80,13 +80,13 @@
     return claim;
 }
 
-std::optional<idempotency::KeptAnswer> keep(const HttpResponse& response)
+std::optional<idempotency::StoredResponse> keep(const HttpResponse& response)
 {
-    idempotency::KeptAnswer answer { response.status, response.headers, response.body };
+    idempotency::StoredResponse answer { response.status, response.headers, response.body };
     std::size_t bytes = answer.body.size();
     for (const auto& [name, value] : answer.headers)
         bytes += name.size() + value.size();
-    return bytes <= idempotency::maxKeptAnswer ? std::optional(std::move(answer)) : std::nullopt;
+    return bytes <= idempotency::maxStoredResponseBytes ? std::optional(std::move(answer)) : std::nullopt;
 }
 
 } // namespace
@@ -109,7 +109,7 @@
 void KeyedRequests::claim(const std::string& pool, std::string_view key, const HttpRequest& request,
     std::function<void(ClaimResult)> callback)
 {
-    const auto rows = idempotency::claimRows(m_clock.wallNow(), hashOf(pool + "\n" + std::string(key)));
+    const auto rows = idempotency::claimRowKeys(m_clock.wallNow(), hashOf(pool + "\n" + std::string(key)));
     HeldClaim held { rows[1], 0,
         { m_node, m_incarnation, ++m_serial, fingerprintOf(request), idempotency::ClaimState::Running,
             std::nullopt } };
@@ -143,7 +143,7 @@
         if (!claim)
             return callback({ ClaimResult::Kind::Unverifiable });
         ClaimResult out { ClaimResult::Kind::Claimed };
-        out.verdict = judge(*claim, fingerprint, m_holderLives(claim->node, claim->incarnation));
+        out.verdict = decideRepeat(*claim, fingerprint, m_holderLives(claim->node, claim->incarnation));
         out.answer = claim->answer;
         callback(std::move(out));
     });
@@ -218,7 +218,7 @@
 
 void KeyedRequests::sweep()
 {
-    const auto prefix = idempotency::expiredPrefix(m_clock.wallNow(), m_slice);
+    const auto prefix = idempotency::expiredClaimPrefix(m_clock.wallNow(), m_slice);
     m_store.platform().readRows(prefix, [this](const PlatformResult<Changes>& rows) {
         if (!rows)
             return;
--- a/src/damaskd/keyed_requests_pvt.h
+++ b/src/damaskd/keyed_requests_pvt.h
@@ -28,8 +28,8 @@
     } kind
         = Kind::Unverifiable;
     HeldClaim held;
-    idempotency::Verdict verdict = idempotency::Verdict::InUse;
-    std::optional<idempotency::KeptAnswer> answer; ///< for Verdict::Replay
+    idempotency::RepeatDecision verdict = idempotency::RepeatDecision::InUse;
+    std::optional<idempotency::StoredResponse> answer; ///< for RepeatDecision::Replay
 };
 
 /// Claims keys before their requests are dispatched and records their outcomes. The caller's answer
--- a/src/include/damaskworks/adapter.h
+++ b/src/include/damaskworks/adapter.h
@@ -46,7 +46,7 @@
     /// Encodes the number of jobs in a queue that have not ended.
     virtual std::string encodePending(std::size_t jobs) const = 0;
     /// Decodes the row by which a VM registers.
-    virtual tl::expected<VmEntry, FormatError> decodeVm(const TableRow& row) const = 0;
+    virtual tl::expected<VmRegistration, FormatError> decodeVm(const TableRow& row) const = 0;
     virtual tl::expected<FleetConfig, FormatError> decodeConfig(const TableRow& row) const = 0;
     virtual tl::expected<WaveRequest, FormatError> decodeWave(const TableRow& row) const = 0;
     /// Encodes the status row that shows operators the state of a wave.
--- a/src/include/damaskworks/budget.h
+++ b/src/include/damaskworks/budget.h
@@ -43,7 +43,7 @@
 /// Whether \p disruptions contains an entry for \p vm.
 bool contains(const std::vector<Disruption>& disruptions, std::string_view vm);
 /// Number of VMs that are out of service or are not reported healthy.
-std::size_t unavailable(const Usage& usage);
+std::size_t unavailableCount(const Usage& usage);
 /// Whether the budget allows taking \p vm, which is in service and healthy, out of service.
 bool mayDisrupt(const Usage& usage, std::string_view vm);
 
--- a/src/include/damaskworks/deployment.h
+++ b/src/include/damaskworks/deployment.h
@@ -34,9 +34,9 @@
 };
 
 /// How the advice service answers about the steps of a queue.
-struct AdviceTerms {
-    milliseconds decision { 0 }; ///< latency of an answer, without that for each VM
-    milliseconds perVm { 0 }; ///< additional latency for each VM in the question
+struct AdviceSettings {
+    milliseconds baseLatency { 0 }; ///< latency of an answer, without that for each VM
+    milliseconds latencyPerVm { 0 }; ///< additional latency for each VM in the question
     milliseconds validFor { 0 }; ///< lifetime of a ticket
 };
 
@@ -52,7 +52,7 @@
     double stretch = 1; ///< factor of the latency objective
     milliseconds latencyTarget { 0 }; ///< constant part of the latency objective
     milliseconds timeout { 0 }; ///< longest duration of one request
-    std::optional<AdviceTerms> advice; ///< if set, only VMs with a ticket may run the queue's steps
+    std::optional<AdviceSettings> advice; ///< if set, only VMs with a ticket may run the queue's steps
 };
 
 /// A pool of VMs.
--- a/src/include/damaskworks/endpoint_control.h
+++ b/src/include/damaskworks/endpoint_control.h
@@ -16,7 +16,7 @@
 namespace damask::fleet {
 
 /// A VM as it registered itself.
-struct VmEntry {
+struct VmRegistration {
     std::string id; ///< differs for each boot of a machine
     std::string machine; ///< machine that the VM runs on
     std::string pool;
@@ -26,7 +26,7 @@
     std::vector<std::string> labels;
     std::string rack; ///< empty if no label names it
     bool draining = false;
-    std::int64_t born = 0; ///< time of boot, milliseconds since the Unix epoch; 0: unknown
+    std::int64_t bootTime = 0; ///< time of boot, milliseconds since the Unix epoch; 0: unknown
 };
 
 /// A run of a task on a VM, as the VM reports it.
@@ -43,18 +43,18 @@
     Done,
     Failed,
     Stopped, ///< by a stop command
-    Lapsed, ///< the VM's lease expired
-    Broken, ///< another task of its gang ended
-    Alone, ///< the other tasks of its gang did not start in time
+    LeaseExpired, ///< the VM's lease expired
+    GangMemberEnded, ///< another task of its gang ended
+    GangIncomplete, ///< the other tasks of its gang did not start in time
 };
 
 inline constexpr NameTable<EndKind, 6> endKindNames { {
     { EndKind::Done, "done" },
     { EndKind::Failed, "failed" },
     { EndKind::Stopped, "stopped" },
-    { EndKind::Lapsed, "lapsed" },
-    { EndKind::Broken, "broken" },
-    { EndKind::Alone, "alone" },
+    { EndKind::LeaseExpired, "lapsed" },
+    { EndKind::GangMemberEnded, "broken" },
+    { EndKind::GangIncomplete, "alone" },
 } };
 
 /// The end of a run. The VM reports it until the pool's holder acknowledges it.
@@ -69,7 +69,7 @@
 /// A VM's answer to a heartbeat.
 struct VmReport {
     milliseconds vmClock { 0 }; ///< steady clock of the VM
-    std::int64_t born = 0; ///< as in VmRegistration
+    std::int64_t bootTime = 0; ///< as in VmRegistration
     std::vector<RunReport> running;
     std::vector<EndReport> ended; ///< ends that are not yet acknowledged
 };
@@ -82,7 +82,7 @@
 };
 
 /// Starts one run.
-struct StartOrder {
+struct StartCommand {
     TaskId task;
     std::uint32_t run = 0;
     std::string spec;
@@ -92,53 +92,54 @@
 };
 
 /// Renews the lease of all runs on a VM, acknowledges ends and requests a report.
-struct HoldOrder {
+struct HeartbeatCommand {
     milliseconds leaseUntil { 0 }; ///< end of the lease, on the VM's clock; 0: do not renew it
     std::uint64_t acknowledged = 0; ///< the holder has stored the ends up to this number durably
     milliseconds wait { 0 }; ///< the VM answers after this time at the latest, or as soon as a run ends
 };
 
 /// Outcome of a command.
-enum class OrderOutcome {
+enum class CommandOutcome {
     Accepted,
-    NoRoom, ///< the VM lacks the resources for the run
+    InsufficientCapacity, ///< the VM lacks the resources for the run
     Superseded, ///< the VM has seen a higher fencing token
-    OldRun, ///< this run or a later run of the task was stopped or has ended on the VM
-    Late, ///< the lease in the command had already expired
+    StaleRun, ///< this run or a later run of the task was stopped or has ended on the VM
+    LeaseExpired, ///< the lease in the command had already expired
     WrongVm, ///< a VM with another id answered at the address
-    BadTicket, ///< the VM rejected the ticket
+    InvalidTicket, ///< the VM rejected the ticket
     Refused, ///< the service is unhealthy, overloaded or busy; it did nothing
     Unreachable, ///< no byte of the command was sent
     Invalid, ///< the service rejected the command as malformed, or its answer cannot be decoded
     Unknown, ///< no clear answer: the command may have been executed, or may still be
 };
 
-inline constexpr NameTable<OrderOutcome, 11> orderOutcomeNames { {
-    { OrderOutcome::Accepted, "accepted" },
-    { OrderOutcome::NoRoom, "no_room" },
-    { OrderOutcome::Superseded, "superseded" },
-    { OrderOutcome::OldRun, "old_run" },
-    { OrderOutcome::Late, "late" },
-    { OrderOutcome::WrongVm, "wrong_vm" },
-    { OrderOutcome::BadTicket, "bad_ticket" },
-    { OrderOutcome::Refused, "refused" },
-    { OrderOutcome::Unreachable, "unreachable" },
-    { OrderOutcome::Invalid, "invalid" },
-    { OrderOutcome::Unknown, "unknown" },
+inline constexpr NameTable<CommandOutcome, 11> commandOutcomeNames { {
+    { CommandOutcome::Accepted, "accepted" },
+    { CommandOutcome::InsufficientCapacity, "no_room" },
+    { CommandOutcome::Superseded, "superseded" },
+    { CommandOutcome::StaleRun, "old_run" },
+    { CommandOutcome::LeaseExpired, "late" },
+    { CommandOutcome::WrongVm, "wrong_vm" },
+    { CommandOutcome::InvalidTicket, "bad_ticket" },
+    { CommandOutcome::Refused, "refused" },
+    { CommandOutcome::Unreachable, "unreachable" },
+    { CommandOutcome::Invalid, "invalid" },
+    { CommandOutcome::Unknown, "unknown" },
 } };
 
 /// Client of the endpoint VMs. It calls each callback exactly once, on the event loop.
 class EndpointControl {
 public:
-    using OrderCallback = std::function<void(OrderOutcome)>;
-    using ReportCallback = std::function<void(tl::expected<VmReport, OrderOutcome>)>;
+    using CommandCallback = std::function<void(CommandOutcome)>;
+    using ReportCallback = std::function<void(tl::expected<VmReport, CommandOutcome>)>;
     virtual ~EndpointControl() = default;
-    virtual void start(const VmTarget& vm, const StartOrder& command, OrderCallback callback) = 0;
-    virtual void stop(const VmTarget& vm, const TaskId& task, std::uint32_t run, OrderCallback callback) = 0;
-    virtual void hold(const VmTarget& vm, const HoldOrder& command, ReportCallback callback) = 0;
+    virtual void start(const VmTarget& vm, const StartCommand& command, CommandCallback callback) = 0;
+    virtual void stop(const VmTarget& vm, const TaskId& task, std::uint32_t run, CommandCallback callback)
+        = 0;
+    virtual void heartbeat(const VmTarget& vm, const HeartbeatCommand& command, ReportCallback callback) = 0;
     /// Limits a task to \p percent of its processors.
-    virtual void pace(
-        const VmTarget& vm, const TaskId& task, std::uint32_t run, int percent, OrderCallback callback)
+    virtual void throttle(
+        const VmTarget& vm, const TaskId& task, std::uint32_t run, int percent, CommandCallback callback)
         = 0;
 };
 
@@ -152,12 +153,12 @@
 /// Client of the advice service, which decides which VMs may run a step.
 class AdviceControl {
 public:
-    using AdviceCallback = std::function<void(tl::expected<Advice, OrderOutcome>)>;
+    using AdviceCallback = std::function<void(tl::expected<Advice, CommandOutcome>)>;
     virtual ~AdviceControl() = default;
     /// Asks which of \p vms, at most 100, may run \p step. The request times out some time after
     /// \p expectedLatency.
-    virtual void ask(const StepId& step, const std::vector<std::string>& vms, milliseconds expectedLatency,
-        AdviceCallback callback)
+    virtual void requestAdvice(const StepId& step, const std::vector<std::string>& vms,
+        milliseconds expectedLatency, AdviceCallback callback)
         = 0;
 };
 
@@ -177,14 +178,14 @@
 public:
     virtual ~MachineControl() = default;
     /// Lists all machines.
-    virtual void list(std::function<void(tl::expected<std::vector<Machine>, OrderOutcome>)> callback) = 0;
+    virtual void list(std::function<void(tl::expected<std::vector<Machine>, CommandOutcome>)> callback) = 0;
     /// Moves \p machine to \p pool.
     virtual void move(const std::string& machine, const std::string& pool, std::uint64_t fence,
-        EndpointControl::OrderCallback callback)
+        EndpointControl::CommandCallback callback)
         = 0;
     /// Starts the maintenance of \p machine as part of \p wave.
-    virtual void maintain(const std::string& machine, std::int64_t wave, std::uint64_t fence,
-        EndpointControl::OrderCallback callback)
+    virtual void startMaintenance(const std::string& machine, std::int64_t wave, std::uint64_t fence,
+        EndpointControl::CommandCallback callback)
         = 0;
 };
 
--- a/src/include/damaskworks/fleet_node.h
+++ b/src/include/damaskworks/fleet_node.h
@@ -91,7 +91,7 @@
     LeaseTiming m_leaseTiming;
     JobDirectory m_directory;
     std::shared_ptr<const FleetConfig> m_config;
-    std::map<std::string, VmEntry> m_vms;
+    std::map<std::string, VmRegistration> m_vms;
     std::map<std::int64_t, WaveRequest> m_waves;
     std::set<std::string> m_pools; ///< pools that need a holder
     FleetRows m_fleetRows;
--- a/src/include/damaskworks/fleet_plan.h
+++ b/src/include/damaskworks/fleet_plan.h
@@ -80,7 +80,7 @@
 /// A maintenance wave and its progress.
 struct WaveState {
     WaveRequest request;
-    TimePoint seenAt {}; ///< when the wave began; its duration counts from here
+    TimePoint startedAt {}; ///< when the wave began; its duration counts from here
     std::set<std::string> done; ///< machines whose maintenance is finished
 };
 
@@ -91,7 +91,7 @@
     std::map<std::string, PoolLoad> loads; ///< by pool
     std::map<std::string, MachineTask> tasks; ///< by machine
     std::map<std::int64_t, WaveState> waves; ///< by number
-    std::map<std::string, TimePoint> movedAt; ///< by machine, end of its last task
+    std::map<std::string, TimePoint> lastTaskEndedAt; ///< by machine, end of its last task
     std::set<std::pair<std::string, std::string>> refusedMoves; ///< machine and target pool
 };
 
@@ -123,7 +123,7 @@
 bool mayOrder(const FleetState& state, const MachineTask& task);
 /// Whether the task is finished: the machine is up in the right pool and runs a new VM, or is in a standby
 /// pool, whose VMs are off.
-bool isBack(const FleetState& state, const MachineTask& task);
+bool hasMachineReturned(const FleetState& state, const MachineTask& task);
 /// Whether the task can't be finished or has become pointless: its machine is down or was removed, or it
 /// came up with another VM before the command was sent.
 bool isAbandoned(const FleetState& state, const MachineTask& task);
--- a/src/include/damaskworks/idempotency.h
+++ b/src/include/damaskworks/idempotency.h
@@ -20,7 +20,7 @@
 /// A claim is valid for at least this long after it was made, and for at most twice as long.
 inline constexpr std::chrono::hours claimRetention { 12 };
 /// Longest response that is stored for repeats, in bytes of headers and body.
-inline constexpr std::size_t maxKeptAnswer = 16 * 1024;
+inline constexpr std::size_t maxStoredResponseBytes = 16 * 1024;
 
 /// What is known about the request that made a claim.
 enum class ClaimState {
@@ -36,7 +36,7 @@
 } };
 
 /// A response that is stored for repeats.
-struct KeptAnswer {
+struct StoredResponse {
     int status = 0;
     std::vector<std::pair<std::string, std::string>> headers;
     std::string body;
@@ -49,11 +49,11 @@
     std::uint64_t serial = 0; ///< number of the claim among those of its holder
     std::string fingerprint; ///< hash of the request
     ClaimState state = ClaimState::Running;
-    std::optional<KeptAnswer> answer; ///< for Done; std::nullopt if it was too long to store
+    std::optional<StoredResponse> answer; ///< for Done; std::nullopt if it was too long to store
 };
 
 /// What to do with a repeat: a request whose key has a claim already.
-enum class Verdict {
+enum class RepeatDecision {
     Replay, ///< reply with the stored response
     InUse, ///< refuse: the first request is running
     OutcomeUnknown, ///< refuse: the first request may have run
@@ -61,25 +61,25 @@
     OtherRequest, ///< refuse: the key was used for a different request
 };
 
-inline constexpr NameTable<Verdict, 5> verdictNames { {
-    { Verdict::Replay, "replay" },
-    { Verdict::InUse, "key_in_use" },
-    { Verdict::OutcomeUnknown, "key_outcome_unknown" },
-    { Verdict::ResponseNotStored, "key_answer_not_kept" },
-    { Verdict::OtherRequest, "key_of_other_request" },
+inline constexpr NameTable<RepeatDecision, 5> repeatDecisionNames { {
+    { RepeatDecision::Replay, "replay" },
+    { RepeatDecision::InUse, "key_in_use" },
+    { RepeatDecision::OutcomeUnknown, "key_outcome_unknown" },
+    { RepeatDecision::ResponseNotStored, "key_answer_not_kept" },
+    { RepeatDecision::OtherRequest, "key_of_other_request" },
 } };
 
 /// Decides what to do with a repeat. \p isHolderAlive says whether the claim's holder is known to run with
 /// the claim's incarnation.
-Verdict judge(const Claim& claim, std::string_view fingerprint, bool isHolderAlive);
+RepeatDecision decideRepeat(const Claim& claim, std::string_view fingerprint, bool isHolderAlive);
 
 /// Keys of the three rows that can hold the claim of an idempotency key with hash \p hash at \p now. A new
 /// claim is written to the middle one. Its write is conditional on all three being absent, so that the
 /// clocks of entry VMs may differ by up to claimRetention.
-std::vector<std::string> claimRows(std::chrono::system_clock::time_point now, std::string_view hash);
+std::vector<std::string> claimRowKeys(std::chrono::system_clock::time_point now, std::string_view hash);
 /// Key prefix of one slice of the expired claim rows, which no repeat can read any more. Successive
 /// values of \p slice go round all slices.
-std::string expiredPrefix(std::chrono::system_clock::time_point now, std::uint64_t slice);
+std::string expiredClaimPrefix(std::chrono::system_clock::time_point now, std::uint64_t slice);
 
 /// Whether \p key is 1 to 255 printable ASCII characters.
 bool isValidKey(std::string_view key);
--- a/src/include/damaskworks/job_timing.h
+++ b/src/include/damaskworks/job_timing.h
@@ -23,7 +23,7 @@
 WallTime dueAt(const JobEntry& job, int occurrence);
 /// Time from dueAt() until the job should have ended: the critical path, stretched and extended as the queue
 /// sets it. With nullptr for \p queue it is the critical path alone.
-milliseconds objectiveSpan(const JobEntry& job, const Queue* queue);
+milliseconds objectiveDuration(const JobEntry& job, const Queue* queue);
 /// Compares the time \p took, counted from dueAt(), with the objective.
 Timeliness timelinessOf(milliseconds took, milliseconds objective);
 /// Whether a single objective covers the job: it is not scheduled and has no long-running tasks.
--- a/src/include/damaskworks/lease.h
+++ b/src/include/damaskworks/lease.h
@@ -35,7 +35,7 @@
     Duration rankDelay = std::chrono::seconds(1);
     Duration minimumHold = std::chrono::seconds(15); ///< minimum time before a handover to the preferred node
     /// A node whose last read of the table is older does not act.
-    Duration contactLimit = std::chrono::seconds(3);
+    Duration maxContactAge = std::chrono::seconds(3);
 };
 
 /// Contents of a lease row.
@@ -53,7 +53,7 @@
     TimePoint unchangedSince {};
     bool held = false; ///< by this node
     bool pending = false; ///< a transaction on it has no result yet
-    TableVersion fence = 0; ///< version of the fencing row while this node is the holder
+    TableVersion fenceVersion = 0; ///< version of the fencing row while this node is the holder
     TimePoint acquiredAt {};
     TimePoint renewedAt {}; ///< when the last successful renewal was sent
 };
@@ -65,18 +65,18 @@
 };
 
 /// What a transaction does with its leases.
-enum class AttemptKind { Take, Renew, Release };
+enum class AttemptKind { Acquire, Renew, Release };
 
 /// A transaction to commit. Renewals of a node share one transaction, and so do its releases.
 struct Attempt {
-    AttemptKind kind = AttemptKind::Take;
+    AttemptKind kind = AttemptKind::Acquire;
     std::vector<std::string> keys; ///< `<definition>/<key>` of its leases
     Transaction transaction;
     TimePoint sentAt {};
 };
 
 /// What the node knows of the cluster besides the lease rows.
-struct Surroundings {
+struct ClusterView {
     std::vector<std::string> keys; ///< `<definition>/<key>` of the leases that need a holder
     std::vector<std::string> members; ///< live entry VMs that are not leaving, this one included
     TimePoint lastContact {}; ///< last successful read of the lease rows
@@ -93,11 +93,12 @@
 
 /// Plans the transactions to commit now and marks their leases as pending. Plans none if the last contact
 /// is too old.
-std::vector<Attempt> decide(
-    State& state, const Settings& settings, const Surroundings& cluster, TimePoint now);
+std::vector<Attempt> planAttempts(
+    State& state, const Settings& settings, const ClusterView& cluster, TimePoint now);
 
 /// Applies the result of an attempt. An unknown outcome counts as a lost lease.
-void finish(State& state, const Attempt& attempt, const PlatformResult<TableVersion>& result, TimePoint now);
+void applyResult(
+    State& state, const Attempt& attempt, const PlatformResult<TableVersion>& result, TimePoint now);
 
 /// Whether this node holds the lease safely before its expiry, with a recent read of the table.
 bool mayAct(
--- a/src/include/damaskworks/machine_coordinator.h
+++ b/src/include/damaskworks/machine_coordinator.h
@@ -70,9 +70,9 @@
     void applyConfig(const FleetConfig& config);
     void applyWave(const WaveRequest& wave);
     /// A VM has registered or changed its registration.
-    void applyVm(const VmEntry& vm);
+    void applyVm(const VmRegistration& vm);
     /// The registration of the VM has ended.
-    void removeVm(const VmEntry& vm);
+    void removeVm(const VmRegistration& vm);
     /// Plans from the current state, and sends the resulting orders and reports.
     void reconcile();
     /// Stops sending orders and releases the lease.
@@ -89,7 +89,7 @@
     void beginTask(MachineTask task);
     void sendOrders(TimePoint now);
     void sendOrder(const MachineTask& task);
-    void onOrderOutcome(const std::string& machine, OrderOutcome outcome);
+    void onOrderOutcome(const std::string& machine, CommandOutcome outcome);
     void finishTasks();
     void reportWaves();
     void writeWaveStatus(std::int64_t wave, bool completed);
--- a/src/include/damaskworks/maintenance.h
+++ b/src/include/damaskworks/maintenance.h
@@ -130,7 +130,7 @@
 };
 
 /// Trackers of the current lease holder, by VM. Each new holder starts with an empty one.
-struct Watches {
+struct VmTrackers {
     bool isFirstStep = true; ///< an earlier holder's commands may still be in flight
     std::map<std::string, VmTracker> vms;
 };
@@ -145,10 +145,11 @@
 struct StepResult {
     std::vector<Command> commands; ///< follow from the phases before the step
     bool hasPermits = false; ///< the transaction must be conditional on the budgets' rows
-    std::set<std::string> wavesUsed; ///< waves that granted permits; also conditions of the transaction
+    std::set<std::string>
+        wavesWithNewPermits; ///< waves that granted permits; also conditions of the transaction
 };
 
 /// Runs one step: advances VMs, records failures, grants permits and updates the waves.
-StepResult step(Pool& pool, Watches& trackers, const Settings& settings, TimePoint now);
+StepResult step(Pool& pool, VmTrackers& trackers, const Settings& settings, TimePoint now);
 
 } // namespace damask::maintenance
--- a/src/include/damaskworks/membership.h
+++ b/src/include/damaskworks/membership.h
@@ -71,7 +71,7 @@
 } };
 
 /// Result of applying a heartbeat.
-enum class Verdict {
+enum class HeartbeatResult {
     Newer, ///< applied
     Stale, ///< not applied: not newer than the known one, from a replaced process, too old, or no space
     Superseded, ///< from a newer process that runs under this node's name
@@ -104,13 +104,13 @@
 /// Applies a heartbeat if it is newer than the known one. A heartbeat is stale if its incarnation is lower
 /// or if a later process uses the node's address. A heartbeat may carry the loads of only some pools; the
 /// known loads of the other pools stay.
-Verdict observe(State& state, const Heartbeat& heartbeat, TimePoint now);
+HeartbeatResult observe(State& state, const Heartbeat& heartbeat, TimePoint now);
 /// Silence after which a member is suspected.
 std::chrono::milliseconds suspicionTimeout(const State& state);
 /// Phase of a member. After a long pause of this process, every member is suspected until its next heartbeat.
 Phase phase(const State& state, const PeerView& view, TimePoint now);
 /// Removes members that have been silent for Limits::forgetAfter.
-void expire(State& state, TimePoint now);
+void removeExpired(State& state, TimePoint now);
 /// Truncates the loads of the node's own heartbeat to Limits::ownLoadBytes. Successive calls keep different
 /// pools in turn.
 void limitOwnLoads(State& state, Heartbeat& self);
--- a/src/include/damaskworks/placement.h
+++ b/src/include/damaskworks/placement.h
@@ -55,14 +55,14 @@
 } };
 
 /// Why the scheduler asked for a placed job's task to stop.
-enum class Ending { None, Cancel, Preempt, Drain, Lost };
-
-inline constexpr NameTable<Ending, 5> endingNames { {
-    { Ending::None, "none" },
-    { Ending::Cancel, "cancel" },
-    { Ending::Preempt, "preempt" },
-    { Ending::Drain, "drain" },
-    { Ending::Lost, "lost" },
+enum class StopReason { None, Cancel, Preempt, Drain, Lost };
+
+inline constexpr NameTable<StopReason, 5> stopReasonNames { {
+    { StopReason::None, "none" },
+    { StopReason::Cancel, "cancel" },
+    { StopReason::Preempt, "preempt" },
+    { StopReason::Drain, "drain" },
+    { StopReason::Lost, "lost" },
 } };
 
 /// Specification of a job.
@@ -86,7 +86,7 @@
     std::string task; ///< unique per attempt
     std::uint64_t epoch = 0; ///< epoch of the lease under which the scheduler placed the attempt
     std::uint32_t attempts = 0;
-    Ending ending = Ending::None;
+    StopReason stopReason = StopReason::None;
     std::vector<std::string> failedOn; ///< VM of each failed attempt
     std::string condition; ///< why the job waits, stops or cannot run
     bool operator==(const Progress&) const = default;
@@ -108,7 +108,7 @@
     Resources used;
     std::set<std::string> jobs; ///< jobs placed or running on this worker
     std::set<std::string> jobsFailedOnlyHere; ///< failures since the last success
-    TimePoint setAsideUntil {}; ///< accepts no jobs before this time, after repeated failures
+    TimePoint quarantinedUntil {}; ///< accepts no jobs before this time, after repeated failures
 };
 
 /// A team's resource quota and the sum of its jobs' reservations.
@@ -151,23 +151,23 @@
 /// Sets a team's quota, or removes it if \p quota is unset.
 void setQuota(State& state, const std::string& team, const std::optional<Resources>& quota);
 /// Adds a job or updates its specification, including a cancellation.
-void declare(State& state, const JobSpec& spec);
+void declareJob(State& state, const JobSpec& spec);
 /// Removes a job whose resource was deleted; an unknown job is ignored. The caller stops a task that still
 /// runs.
-void forget(State& state, const std::string& job);
+void removeJob(State& state, const std::string& job);
 /// Replaces a job's progress in memory by the progress read from the table.
-void restore(State& state, const std::string& job, const Progress& progress);
+void restoreProgress(State& state, const std::string& job, const Progress& progress);
 
 /// Applies a task report. Ignores reports of unknown jobs and of earlier attempts.
 void observe(State& state, const TaskReport& report, TimePoint now);
 /// Asks for a job's task to stop. The job keeps its resources until a report shows that the task stopped.
-void beginEnding(State& state, const std::string& job, Ending ending);
+void requestStop(State& state, const std::string& job, StopReason stopReason);
 
 /// Runs a scheduling pass: places queued jobs in the pools that changed since the last pass. New attempts
 /// carry \p epoch, the epoch of the caller's lease.
 void pass(State& state, std::uint64_t epoch, TimePoint now);
 /// Returns the jobs whose progress changed since the last call.
-std::set<std::string> takeChanged(State& state);
+std::set<std::string> takeChangedJobs(State& state);
 
 /// Key in State::estimates of the job's class: team and name without trailing digits and hyphens.
 std::string jobClassOf(const JobSpec& spec);
--- a/src/include/damaskworks/pool_holder.h
+++ b/src/include/damaskworks/pool_holder.h
@@ -52,10 +52,10 @@
     bool isProgressLoaded() const { return m_earlierProgress.has_value(); }
     /// Starts to send orders. Requires isProgressLoaded(), and a directory and VM registry that cover
     /// acquiredVersion().
-    void begin(const FleetConfig& config, const std::map<std::string, VmEntry>& vms);
+    void begin(const FleetConfig& config, const std::map<std::string, VmRegistration>& vms);
     void applyConfig(const FleetConfig& config);
     void applyJob(const std::string& id, const JobRecord& record);
-    void listVm(const VmEntry& vm);
+    void listVm(const VmRegistration& vm);
     void unlistVm(const std::string& id);
     /// Sets the machines to evacuate, each with the id of the machine task that requires it.
     void setEvacuations(const std::map<std::string, std::string>& machines);
@@ -68,7 +68,7 @@
     static constexpr milliseconds reconcileDelay { 2 };
 
     /// State of the hold requests to one VM. A hold request renews the VM's lease, acknowledges completions
-    /// and waits for new ones (see HoldOrder).
+    /// and waits for new ones (see HeartbeatCommand).
     struct HoldState {
         bool isInFlight = false;
         TimePoint nextHoldAt {};
@@ -89,11 +89,11 @@
     void sendHolds(TimePoint now);
     bool needsHold(const VmState& vm, HoldState& holdState, TimePoint now);
     void sendHold(const std::string& name, VmState& vm, HoldState& holdState, TimePoint now);
-    void onReport(const std::string& name, tl::expected<VmReport, OrderOutcome> report, TimePoint sentAt);
+    void onReport(const std::string& name, tl::expected<VmReport, CommandOutcome> report, TimePoint sentAt);
     void onSpecRead(const std::string& job, std::string spec);
-    void onStartOutcome(const StartAction& start, OrderOutcome outcome, TimePoint sentAt);
+    void onStartOutcome(const StartAction& start, CommandOutcome outcome, TimePoint sentAt);
     void sendPaces(const std::string& name, TimePoint now);
-    void handleOrderOutcome(const std::string& vm, OrderOutcome outcome);
+    void handleOrderOutcome(const std::string& vm, CommandOutcome outcome);
     VmTarget makeTarget(const VmState& vm) const;
     LedgerBatch collectBatch();
     void onCommitted(const LedgerBatch& batch);
--- a/src/include/damaskworks/pool_plan.h
+++ b/src/include/damaskworks/pool_plan.h
@@ -18,7 +18,7 @@
 /// their step's disruption budget (maxUnavailable).
 void planEvacuations(PoolState& state, TimePoint now);
 /// Load of the pool, as reported to the machine coordinator.
-PoolLoad loadOf(const PoolState& state, TimePoint now);
+PoolLoad computeLoad(const PoolState& state, TimePoint now);
 
 /// A command that sets the share of its CPU that a task may use.
 struct ThrottleAction {
@@ -30,6 +30,6 @@
 
 /// Lowers the CPU limit of the filler tasks on a VM while a task beside them approaches or exceeds its
 /// latency target, and raises it again once there is room.
-std::vector<ThrottleAction> planPaces(PoolState& state, std::string_view vm, TimePoint now);
+std::vector<ThrottleAction> planThrottling(PoolState& state, std::string_view vm, TimePoint now);
 
 } // namespace damask::fleet
--- a/src/include/damaskworks/pool_state.h
+++ b/src/include/damaskworks/pool_state.h
@@ -89,26 +89,26 @@
     int nextOccurrence = 0; ///< first occurrence that is not due yet
     std::map<int, OccurrenceState> occurrences;
     milliseconds criticalPath { 0 }; ///< see criticalPathLength()
-    TimePoint firstStart {}; ///< first start command of this holder; zero: none yet
+    TimePoint firstStartAt {}; ///< first start command of this holder; zero: none yet
 };
 
 /// A VM of the pool.
 struct VmState {
-    VmEntry entry;
+    VmRegistration entry;
     bool listed = true; ///< present in the registry
-    bool read = false; ///< has reported its runs to this holder, under its fencing token
-    bool silent = false; ///< the last call got no response
+    bool hasReported = false; ///< has reported its runs to this holder, under its fencing token
+    bool isUnresponsive = false; ///< the last call got no response
     bool evacuating = false; ///< its tasks are drained for maintenance or a move
     std::string evacuationTask; ///< MachineTask::id of that maintenance or move
     TimePoint evacuatingSince {};
-    std::int64_t born = 0; ///< boot time, see VmReport; differs after a reboot
+    std::int64_t bootTime = 0; ///< boot time, see VmReport; differs after a reboot
     milliseconds reportedClock { 0 }; ///< the VM's clock in its last report
     TimePoint clockReportedAt {}; ///< when that report arrived, on this node's clock
     milliseconds leaseUntil { 0 }; ///< latest lease end sent in any command, on the VM's clock
     Resources used; ///< reserved by all runs that are not known to have ended
     std::set<TaskId> runs;
     /// Runs that this holder neither started nor adopted, with the time of the next stop command.
-    std::map<std::pair<TaskId, std::uint32_t>, TimePoint> strangers;
+    std::map<std::pair<TaskId, std::uint32_t>, TimePoint> orphanRuns;
     std::uint64_t applied = 0; ///< ends up to this number are applied to the state
     std::uint64_t acknowledged = 0; ///< ends up to this number are durable
     int consecutiveFailures = 0; ///< failed, refused and stalled runs since the last successful one
@@ -126,7 +126,7 @@
     /// lease expires, then one load of its records.
     milliseconds vmLease { 4500 };
     /// Slowest rate of a VM's clock. It may run slow by 2%; the rest covers the rounding to milliseconds.
-    double slowestVmClock = 0.975;
+    double minVmClockRate = 0.975;
     milliseconds stopRetryDelay { 400 }; ///< twice the time that a VM may take to stop a task
     int failuresBeforeQuarantine = 4; ///< consecutive failures, of at least two jobs
     milliseconds firstQuarantine { 2000 }; ///< doubles with each further quarantine
@@ -159,10 +159,10 @@
     std::deque<Arrival> arrivals; ///< within the last two arrival windows, oldest first
     std::vector<StepId> stepsNeedingTickets; ///< steps for which the last planStarts() found no usable VM
     /// After a change of holder: until then tasks of recovered jobs may run on VMs that have not reported.
-    TimePoint uncertainUntil {};
+    TimePoint recoveryDeadline {};
     /// VMs of the pool according to the platform; the registry may lack some of them for a while after an
     /// outage. Empty optional: the platform has not answered yet.
-    std::optional<std::set<std::string>> knownVms;
+    std::optional<std::set<std::string>> platformVms;
 };
 
 /// A command to stop a run.
@@ -175,7 +175,7 @@
 /// A command to start a run.
 struct StartAction {
     std::string vm;
-    StartOrder order;
+    StartCommand command;
 };
 
 /// Run numbers of a recovered task start above this value, so that they exceed those of earlier holders.
@@ -185,24 +185,24 @@
 /// may have had the job.
 void addJob(PoolState& state, JobSpec spec, std::string_view progress, bool recovered);
 /// Adds the work of a new job to the arrival rate.
-void noteArrival(PoolState& state, const JobSpec& job, TimePoint now);
+void recordArrival(PoolState& state, const JobSpec& job, TimePoint now);
 /// Cancels a job; its runs are stopped by the next planStops().
 void cancelJob(PoolState& state, std::string_view id);
 /// Adds or changes a VM as the registry lists it.
-void listVm(PoolState& state, const VmEntry& entry);
+void listVm(PoolState& state, const VmRegistration& entry);
 /// Marks a VM that the registry no longer lists. expireLeases() removes it.
 void unlistVm(PoolState& state, std::string_view id);
 /// Applies a VM's report of its runs. \p sentAt is when the request for it was sent.
 void applyReport(
     PoolState& state, std::string_view vm, const VmReport& report, TimePoint sentAt, TimePoint now);
 /// Marks a VM whose last call got no response.
-void applySilence(PoolState& state, std::string_view vm);
+void markUnresponsive(PoolState& state, std::string_view vm);
 /// Applies the outcome of a start command.
 void applyStartOutcome(PoolState& state, std::string_view vm, const TaskId& task, std::uint32_t run,
-    OrderOutcome outcome, TimePoint now);
+    CommandOutcome outcome, TimePoint now);
 /// Applies the outcome of a stop command.
 void applyStopOutcome(PoolState& state, std::string_view vm, const TaskId& task, std::uint32_t run,
-    OrderOutcome outcome, TimePoint now);
+    CommandOutcome outcome, TimePoint now);
 /// Releases the runs of unresponsive VMs whose lease has expired, and removes unlisted VMs without runs.
 void expireLeases(PoolState& state, TimePoint now);
 /// Stop commands that are due: for runs of ended jobs, orphan runs, stalled tasks and unconfirmed starts.
@@ -216,14 +216,14 @@
 bool isLeaseExpired(const VmState& vm, const PoolLimits& limits, TimePoint now);
 
 /// The next heartbeat for the VM, which asks for its report. Renews the lease of its runs if the VM responds.
-HoldOrder planHold(VmState& vm, const PoolLimits& limits, TimePoint now);
+HeartbeatCommand planHeartbeat(VmState& vm, const PoolLimits& limits, TimePoint now);
 
 /// Durable record of a job's state and of the progress of its tasks.
 std::string encodeProgress(const JobEntry& job);
 /// Durable record of a job's state.
 std::string encodeState(JobState state);
 /// State in a record of either kind; Queued if it is malformed.
-JobState stateOf(std::string_view record);
+JobState decodeState(std::string_view record);
 
 /// The task, or nullptr if the job has no such task. Creates the state of its occurrence if it is missing.
 TaskState* findTask(PoolState& state, const TaskId& task);
--- a/src/include/damaskworks/request.h
+++ b/src/include/damaskworks/request.h
@@ -189,11 +189,11 @@
     std::string self; ///< id of this entry VM
     std::vector<EntryVmWeight> entryVms; ///< sharing the slots, sorted by id; empty: this one has all
     bool hasPendingSlots = false; ///< whether any endpoint has a pending larger share
-    std::vector<Endpoint*> local; ///< endpoints with a free slot in this data centre
+    std::vector<Endpoint*> availableLocal; ///< endpoints with a free slot in this data centre
     std::vector<Endpoint*> availableRemote; ///< endpoints with a free slot in other data centres
     std::set<std::pair<TimePoint, EndpointId>> ejectedUntil; ///< ends of the ejections
     std::size_t acceptingCount = 0; ///< endpoints that accept requests and have slots
-    std::size_t usable = 0; ///< of those, the endpoints that are not ejected
+    std::size_t usableCount = 0; ///< of those, the endpoints that are not ejected
     std::uint32_t usableSlots = 0; ///< slots of accepting endpoints that are not ejected
     std::uint32_t localSlots = 0; ///< part of usableSlots in this data centre
     std::size_t cursor = 0; ///< position of round-robin balancers
@@ -245,7 +245,7 @@
 };
 
 /// The caller has closed its connection.
-struct CallerGone {
+struct CallerDisconnected {
     RequestId id = 0;
 };
 
@@ -269,8 +269,8 @@
 /// A planned stop of this entry VM has begun.
 struct StopRequested { };
 
-using Event
-    = std::variant<Arrived, AttemptEnded, CallerGone, PoolChanged, EntryVmsChanged, Tick, StopRequested>;
+using Event = std::variant<Arrived, AttemptEnded, CallerDisconnected, PoolChanged, EntryVmsChanged, Tick,
+    StopRequested>;
 
 /// Send the request to the endpoint. An AttemptEnded event must follow within the timeout.
 struct Dispatch {
@@ -289,11 +289,11 @@
 };
 
 /// Cancel the attempt in flight: its caller has disconnected.
-struct Abandon {
+struct CancelAttempt {
     RequestId id = 0;
 };
 
-using Action = std::variant<Dispatch, Reply, Abandon>;
+using Action = std::variant<Dispatch, Reply, CancelAttempt>;
 
 /// Applies one event to \p state, then handles the timers that are due. Returns the actions to carry out.
 std::vector<Action> decide(State& state, const Event& event, TimePoint now);
@@ -309,6 +309,6 @@
 Load loadOf(const Pool& pool, TimePoint now);
 
 /// Time at which the next Tick is due; TimePoint::max() if there is none.
-TimePoint nextDeadline(const State& state);
+TimePoint nextTimerAt(const State& state);
 
 } // namespace damask::request
--- a/src/include/damaskworks/response_time.h
+++ b/src/include/damaskworks/response_time.h
@@ -16,10 +16,10 @@
 };
 
 /// Adds the time of a response. Resets the backoff.
-void noteAnswer(ResponseTimes& times, std::chrono::duration<double, std::milli> time);
+void recordResponseTime(ResponseTimes& times, std::chrono::duration<double, std::milli> time);
 /// Records a call that timed out. Doubles the timeout of the next calls.
-void noteSilence(ResponseTimes& times);
+void recordTimeout(ResponseTimes& times);
 /// Timeout for the next call, at most \p limit.
-std::chrono::milliseconds patience(const ResponseTimes& times, std::chrono::milliseconds limit);
+std::chrono::milliseconds responseTimeout(const ResponseTimes& times, std::chrono::milliseconds limit);
 
 } // namespace damask::fleet
--- a/src/include/damaskworks/shared_table.h
+++ b/src/include/damaskworks/shared_table.h
@@ -28,7 +28,7 @@
 };
 
 /// Requires a row to have this version when the transaction commits; 0: the row must not exist.
-struct RowExpectation {
+struct RowPrecondition {
     std::string table;
     std::string key;
     Version version = 0;
@@ -44,7 +44,7 @@
 /// Writes that take effect together, and only if all preconditions hold.
 struct TableTransaction {
     std::string part;
-    std::vector<RowExpectation> expectations;
+    std::vector<RowPrecondition> preconditions;
     std::vector<TableWrite> writes;
 };
 
@@ -57,7 +57,7 @@
 
 /// Why a call to the table failed.
 enum class TableFailure {
-    NotDone, ///< the call had no effect
+    NotApplied, ///< the call had no effect
     Overloaded, ///< the call had no effect; the table limits the rate of calls
     Unknown, ///< the write may have taken effect, or still may
     Conflict, ///< a precondition did not hold; the call had no effect
@@ -66,7 +66,7 @@
 };
 
 inline constexpr NameTable<TableFailure, 6> tableFailureNames { {
-    { TableFailure::NotDone, "not_done" },
+    { TableFailure::NotApplied, "not_done" },
     { TableFailure::Overloaded, "overloaded" },
     { TableFailure::Unknown, "unknown" },
     { TableFailure::Conflict, "conflict" },
--- a/src/include/damaskworks/start_gate.h
+++ b/src/include/damaskworks/start_gate.h
@@ -19,7 +19,7 @@
 
 /// Adds \p planned to \p waiting, then removes and returns the starts that may be sent now. Drops starts
 /// whose run was released or stopped in the meantime.
-std::vector<StartAction> passGate(
+std::vector<StartAction> takeReadyStarts(
     PoolState& state, WaitingStarts& waiting, std::vector<StartAction> planned, TimePoint now);
 
 } // namespace damask::fleet
--- a/src/include/damaskworks/step_advice.h
+++ b/src/include/damaskworks/step_advice.h
@@ -18,9 +18,9 @@
 };
 
 /// The next request, for the most urgent step that needs tickets. Marks the step's request as pending.
-std::optional<AdviceRequest> planAdvice(PoolState& state, TimePoint now);
+std::optional<AdviceRequest> planAdviceRequest(PoolState& state, TimePoint now);
 /// Applies an answer. A failed request is retried after a delay.
 void applyAdvice(PoolState& state, const AdviceRequest& request,
-    const tl::expected<Advice, OrderOutcome>& answer, TimePoint now);
+    const tl::expected<Advice, CommandOutcome>& answer, TimePoint now);
 
 } // namespace damask::fleet
--- a/src/include/damaskworks/table_contact.h
+++ b/src/include/damaskworks/table_contact.h
@@ -13,14 +13,14 @@
 };
 
 /// Records a response from the table.
-void noteContact(TableContact& contact, TimePoint now);
+void recordContact(TableContact& contact, TimePoint now);
 /// Records a failed call that certainly did nothing.
-void noteNoContact(TableContact& contact);
+void recordFailedContact(TableContact& contact);
 /// Whether the node should report itself ready for callers. Two consecutive failures are enough to say no:
 /// callers have other nodes, and the next response makes the node ready again.
 bool looksReachable(const TableContact& contact, TimePoint now);
 /// Whether the table counts as unreachable, so that callers are refused at once without another attempt.
-bool isLost(const TableContact& contact, TimePoint now);
+bool isUnreachable(const TableContact& contact, TimePoint now);
 /// Retry-After for a refused caller. Short while only this node may be affected, since another node then
 /// serves the retry. Longer once the table itself seems to be down, so that the few attempts of a caller
 /// outlast the outage.
--- a/src/jobs.controller/jobs_plan.cpp
+++ b/src/jobs.controller/jobs_plan.cpp
@@ -7,8 +7,8 @@
 namespace damask::jobs {
 namespace {
 
-using placement::Ending;
 using placement::Phase;
+using placement::StopReason;
 
 constexpr std::size_t maxRowsPerCommit = 50;
 constexpr std::size_t maxCommitsPerPlan = 8;
@@ -58,20 +58,20 @@
     const auto statusVersion = view.catalogue.statusVersion(Kind::Job, job.name);
     const bool isSpecNew = seen.specVersion != job.version;
     if (isSpecNew)
-        declare(scratch.state, readSpec(job));
+        declareJob(scratch.state, readSpec(job));
     const bool isStatusNew = seen.statusVersion != statusVersion;
     if (!isNew && !isSpecNew && !isStatusNew && !scratch.written.contains(job.name))
         return;
     seen.specVersion = job.version;
     seen.statusVersion = statusVersion;
     auto progress = readProgress(job);
-    if (progress.ending != seen.progress.ending || progress.task != seen.progress.task)
+    if (progress.stopReason != seen.progress.stopReason || progress.task != seen.progress.task)
         seen.endingSince = view.now;
     if (progress.task != seen.progress.task)
         seen.commanded.reset();
     seen.progress = std::move(progress);
     scratch.unwritten.erase(job.name);
-    restore(scratch.state, job.name, seen.progress);
+    restoreProgress(scratch.state, job.name, seen.progress);
 }
 
 void readJobs(const controller::View& view, Scratch& scratch)
@@ -82,7 +82,7 @@
     std::erase_if(scratch.seen, [&](const auto& entry) {
         if (view.catalogue.find(Kind::Job, entry.first))
             return false;
-        forget(scratch.state, entry.first);
+        removeJob(scratch.state, entry.first);
         scratch.unwritten.erase(entry.first);
         return true;
     });
@@ -99,13 +99,13 @@
         else if (seen.missingSince == TimePoint {})
             seen.missingSince = view.now;
         else if (view.now - seen.missingSince >= lostTime)
-            beginEnding(scratch.state, name, Ending::Lost);
+            requestStop(scratch.state, name, StopReason::Lost);
     }
 }
 
 void commitChanges(const controller::View& view, Scratch& scratch, std::vector<controller::Action>& actions)
 {
-    scratch.unwritten.merge(takeChanged(scratch.state));
+    scratch.unwritten.merge(takeChangedJobs(scratch.state));
     controller::Commit commit { {}, "jobs" };
     std::set<std::string> vmsStated;
     std::size_t commits = 0;
@@ -145,12 +145,13 @@
     const bool isKnown = report != view.tasks.end();
     if (isKnown && report->second.state != TaskState::Running)
         return std::nullopt;
-    if (progress.ending == Ending::None) {
+    if (progress.stopReason == StopReason::None) {
         // A running task is never started again: its VM may have lost it and would run it twice.
         const bool mayStart = !isKnown && progress.phase == Phase::Placed;
         return mayStart ? std::optional(TaskCommand::Start) : std::nullopt;
     }
-    const bool wantsCheckpoint = progress.ending == Ending::Preempt || progress.ending == Ending::Drain;
+    const bool wantsCheckpoint
+        = progress.stopReason == StopReason::Preempt || progress.stopReason == StopReason::Drain;
     if (wantsCheckpoint && isKnown && !report->second.checkpointed
         && view.now - seen.endingSince < checkpointTime)
         return TaskCommand::Checkpoint;
--- a/src/jobs.controller/jobs_property_test.cpp
+++ b/src/jobs.controller/jobs_property_test.cpp
@@ -146,7 +146,7 @@
             RC_ASSERT(world.phase(jobName(job)) == (job == badJob ? "failed" : "succeeded"));
         for (unsigned vm = 0; vm < 4; ++vm) {
             const auto& worker = world.scratch().state.workers.at("vm-" + std::to_string(vm));
-            RC_ASSERT(vm == bad || worker.setAsideUntil == TimePoint {});
+            RC_ASSERT(vm == bad || worker.quarantinedUntil == TimePoint {});
         }
     }));
 }
--- a/src/libcontroller/runner.cpp
+++ b/src/libcontroller/runner.cpp
@@ -100,15 +100,15 @@
 
 void Runner::renewLeases()
 {
-    const lease::Surroundings around { wantedKeys(), m_members, m_leaseRows.lastContact(), m_stopping };
-    for (const auto& attempt : lease::decide(m_leases, m_settings.lease, around, m_context.clock.now()))
+    const lease::ClusterView around { wantedKeys(), m_members, m_leaseRows.lastContact(), m_stopping };
+    for (const auto& attempt : lease::planAttempts(m_leases, m_settings.lease, around, m_context.clock.now()))
         this->attempt(attempt);
 }
 
 void Runner::attempt(const lease::Attempt& attempt)
 {
     m_context.store.commit(attempt.transaction, [this, attempt](PlatformResult<TableVersion> result) {
-        lease::finish(m_leases, attempt, result, m_context.clock.now());
+        lease::applyResult(m_leases, attempt, result, m_context.clock.now());
         m_context.metrics.gauge("damask_leases_held", static_cast<double>(leasesHeld()));
         if (!result) {
             m_context.metrics.count("damask_lease_attempts_failed_total");
@@ -118,7 +118,7 @@
             return;
         for (const auto& key : attempt.keys)
             logEvent(LogLevel::Info,
-                attempt.kind == lease::AttemptKind::Take ? "lease_taken" : "lease_released",
+                attempt.kind == lease::AttemptKind::Acquire ? "lease_taken" : "lease_released",
                 { { "lease", key }, { "epoch", std::to_string(m_leases.leases[key].content.epoch) } });
         planSoon();
     });
@@ -167,7 +167,7 @@
     auto& work = m_work[leaseKey];
     // A plan starts only from rows that show all that this and earlier holders have committed.
     const auto& lease = m_leases.leases[leaseKey];
-    const auto needed = std::max(work.committed, lease.fence);
+    const auto needed = std::max(work.committed, lease.fenceVersion);
     if (!mayAct(leaseKey) || work.pending > 0 || needed > m_context.resources.version())
         return;
     const auto [definitionName, key] = split(leaseKey);
--- a/src/libfleet/caller_service.cpp
+++ b/src/libfleet/caller_service.cpp
@@ -143,7 +143,7 @@
     call->job.pool = call->queue.pool;
     call->job.maxAttempts = call->queue.maxAttempts;
     call->job.acceptedAt = std::chrono::duration_cast<WallTime>(m_context.clock.wallNow().time_since_epoch());
-    if (isLost(m_context.tableContact, m_context.clock.now()))
+    if (isUnreachable(m_context.tableContact, m_context.clock.now()))
         return reply(call, 503, errorBody("the table can't be reached"), "table_lost");
     commitJob(call);
 }
@@ -172,7 +172,7 @@
         return reply(
             call, call->mayHaveCommitted ? 504 : 503, errorBody("the job can't be stored"), "invalid_row");
     call->mayHaveCommitted = call->mayHaveCommitted || result.error() == TableFailure::Unknown;
-    const bool isTableLost = isLost(m_context.tableContact, m_context.clock.now());
+    const bool isTableLost = isUnreachable(m_context.tableContact, m_context.clock.now());
     const bool isRefused = !call->mayHaveCommitted && (call->attempts >= maxRefusedAttempts || isTableLost);
     if (isRefused)
         return reply(call, 503, errorBody("the table does not take the job"), "not_accepted");
--- a/src/libfleet/caller_service_test.cpp
+++ b/src/libfleet/caller_service_test.cpp
@@ -48,7 +48,10 @@
     std::optional<milliseconds> callerDeadline(const HttpRequest&) const override { return 3000ms; }
     std::string encodeState(JobState) const override { return "{}"; }
     std::string encodePending(std::size_t) const override { return "{}"; }
-    tl::expected<VmEntry, FormatError> decodeVm(const TableRow&) const override { return VmEntry {}; }
+    tl::expected<VmRegistration, FormatError> decodeVm(const TableRow&) const override
+    {
+        return VmRegistration {};
+    }
     tl::expected<FleetConfig, FormatError> decodeConfig(const TableRow&) const override
     {
         return FleetConfig {};
@@ -83,7 +86,7 @@
 
     CallerFixture()
     {
-        noteContact(contact, clock.now());
+        recordContact(contact, clock.now());
         FleetConfig config;
         Queue queue;
         queue.name = "quotes";
@@ -117,7 +120,7 @@
 BOOST_AUTO_TEST_CASE(submissionIsRefusedAtOnceWhileTableIsLost)
 {
     for (int i = 0; i < 3; ++i)
-        noteNoContact(contact);
+        recordFailedContact(contact);
     const auto exchange = submit("a1");
     BOOST_TEST(exchange->answer->status == 503);
     BOOST_TEST(http::header(exchange->answer->headers, "Retry-After").value_or("") == "1");
@@ -125,7 +128,7 @@
     clock.advance(3s);
     BOOST_TEST(http::header(submit("a2")->answer->headers, "Retry-After").value_or("") == "2");
     // After one answer of the table, to any call, the service accepts submissions again.
-    noteContact(contact, clock.now());
+    recordContact(contact, clock.now());
     BOOST_TEST(submit("a3")->answer->status == 200);
     BOOST_TEST(isStored("a3"));
 }
@@ -145,7 +148,7 @@
     BOOST_TEST(isStored("a1"));
     // The caller repeats the submission; the table still holds one job.
     fakeTable->faults.clear();
-    noteContact(contact, clock.now());
+    recordContact(contact, clock.now());
     BOOST_TEST(submit("a1")->answer->status == 200);
     BOOST_TEST(fakeTable->rows(std::string(jobTable)).size() == 1u);
 }
@@ -172,7 +175,7 @@
         clock.advance(500ms);
         BOOST_REQUIRE(loop.runUntil([&] { return answeredCommits == 3; }, 10s));
         BOOST_TEST(looksReachable(contact, clock.now()));
-        BOOST_TEST(!isLost(contact, clock.now()));
+        BOOST_TEST(!isUnreachable(contact, clock.now()));
     }
     BOOST_TEST(submit("a1")->answer->status == 200);
 }
--- a/src/libfleet/fakes_test.h
+++ b/src/libfleet/fakes_test.h
@@ -15,7 +15,7 @@
 /// Fault injected into a commit.
 enum class CommitFault {
     None,
-    Refused, ///< not applied; the answer is TableFailure::NotDone
+    Refused, ///< not applied; the answer is TableFailure::NotApplied
     AnswerLost, ///< applied; the answer is TableFailure::Unknown
     Delayed, ///< the answer is TableFailure::Unknown; applyDelayed() applies the commit later
     Overloaded, ///< not applied; the answer is TableFailure::Overloaded
@@ -45,7 +45,7 @@
             return postAnswer([callback] { callback(tl::make_unexpected(TableFailure::Unknown)); });
         }
         if (fault == CommitFault::Refused)
-            return postAnswer([callback] { callback(tl::make_unexpected(TableFailure::NotDone)); });
+            return postAnswer([callback] { callback(tl::make_unexpected(TableFailure::NotApplied)); });
         if (fault == CommitFault::Overloaded)
             return postAnswer([callback] { callback(tl::make_unexpected(TableFailure::Overloaded)); });
         auto result = apply(transaction);
@@ -62,7 +62,7 @@
             --readsToFail;
             return postAnswer([this, callback] {
                 --m_openReads;
-                callback(tl::make_unexpected(TableFailure::NotDone));
+                callback(tl::make_unexpected(TableFailure::NotApplied));
             });
         }
         TableRows out { m_version, {}, false };
@@ -123,10 +123,10 @@
     TableResult<Version> apply(const TableTransaction& transaction)
     {
         largestTransaction
-            = std::max(largestTransaction, transaction.expectations.size() + transaction.writes.size());
-        if (transaction.expectations.size() + transaction.writes.size() > maxTransactionEntries)
+            = std::max(largestTransaction, transaction.preconditions.size() + transaction.writes.size());
+        if (transaction.preconditions.size() + transaction.writes.size() > maxTransactionEntries)
             return tl::make_unexpected(TableFailure::Invalid);
-        for (const auto& expected : transaction.expectations) {
+        for (const auto& expected : transaction.preconditions) {
             const auto* row = find(expected.table, transaction.part, expected.key);
             if ((row ? row->version : 0) != expected.version)
                 return tl::make_unexpected(TableFailure::Conflict);
--- a/src/libfleet/job_directory.cpp
+++ b/src/libfleet/job_directory.cpp
@@ -66,7 +66,7 @@
         return;
     case 's':
         record.hasStateRow = true;
-        record.state = stateOf(row.value);
+        record.state = decodeState(row.value);
         return;
     default:
         logEvent(LogLevel::Error, "job_row_unknown", { { "key", row.key } });
--- a/src/libfleet/job_progress_test.cpp
+++ b/src/libfleet/job_progress_test.cpp
@@ -46,7 +46,7 @@
     std::vector<TableWrite> writes;
     appendProgress(job, writes);
     BOOST_REQUIRE(writes.size() == 2u);
-    BOOST_TEST((stateOf(writes[0].value.value_or("")) == JobState::Completed));
+    BOOST_TEST((decodeState(writes[0].value.value_or("")) == JobState::Completed));
     BOOST_TEST(!writes[1].value.has_value());
     // A job cancelled before it began has no progress row.
     auto waiting = entry(JobState::Cancelled);
--- a/src/libfleet/machine_coordinator.cpp
+++ b/src/libfleet/machine_coordinator.cpp
@@ -82,7 +82,7 @@
     }
     // After a takeover only the rest of the wave's duration is left.
     const auto elapsed = std::clamp(wallNow - m_waveStartTimes[wave.number], milliseconds(0), wave.duration);
-    it->second.seenAt = m_context.clock.now() - elapsed;
+    it->second.startedAt = m_context.clock.now() - elapsed;
     m_nextListAt = TimePoint {};
     logEvent(LogLevel::Info, "wave_begun",
         { { "wave", std::to_string(wave.number) }, { "machines", std::to_string(wave.machines.size()) },
@@ -90,7 +90,7 @@
             { "duration_ms", std::to_string(wave.duration.count()) } });
 }
 
-void MachineCoordinator::applyVm(const VmEntry& vm)
+void MachineCoordinator::applyVm(const VmRegistration& vm)
 {
     if (!m_begun || vm.machine.empty())
         return;
@@ -99,7 +99,7 @@
     machine = { vm.machine, vm.pool, vm.draining ? MachineState::Down : MachineState::Up, vm.id };
 }
 
-void MachineCoordinator::removeVm(const VmEntry& vm)
+void MachineCoordinator::removeVm(const VmRegistration& vm)
 {
     m_unregisteredVms.insert(vm.id);
     const auto found = m_state.machines.find(vm.machine);
@@ -148,14 +148,14 @@
     m_isListing = true;
     m_listRequestedAt = now;
     m_context.machines.list(
-        [this, alive = m_alive](tl::expected<std::vector<Machine>, OrderOutcome> machines) {
+        [this, alive = m_alive](tl::expected<std::vector<Machine>, CommandOutcome> machines) {
             if (!*alive || m_ended)
                 return;
             m_isListing = false;
             m_nextListAt = m_context.clock.now() + (hasWork() ? busyListInterval : idleListInterval);
             if (!machines) {
                 logEvent(LogLevel::Warning, "machine_list_failed",
-                    { { "outcome", std::string(nameOf(orderOutcomeNames, machines.error())) } });
+                    { { "outcome", std::string(nameOf(commandOutcomeNames, machines.error())) } });
                 return;
             }
             applyMachineList(std::move(*machines));
@@ -236,29 +236,29 @@
 {
     const auto machine = task.machine;
     m_ordersInFlight.insert(machine);
-    auto done = [this, machine, alive = m_alive](OrderOutcome outcome) {
+    auto done = [this, machine, alive = m_alive](CommandOutcome outcome) {
         if (*alive && !m_ended)
             onOrderOutcome(machine, outcome);
     };
     if (task.action == MachineAction::Maintain)
-        m_context.machines.maintain(machine, task.wave, m_ledger.fencingToken(), done);
+        m_context.machines.startMaintenance(machine, task.wave, m_ledger.fencingToken(), done);
     else
         m_context.machines.move(machine, task.toPool, m_ledger.fencingToken(), done);
 }
 
-void MachineCoordinator::onOrderOutcome(const std::string& machine, OrderOutcome outcome)
+void MachineCoordinator::onOrderOutcome(const std::string& machine, CommandOutcome outcome)
 {
     m_ordersInFlight.erase(machine);
     m_nextOrderAt[machine] = m_context.clock.now() + orderRetryInterval;
     auto found = m_state.tasks.find(machine);
     logEvent(LogLevel::Info, "machine_order",
-        { { "machine", machine }, { "outcome", std::string(nameOf(orderOutcomeNames, outcome)) },
+        { { "machine", machine }, { "outcome", std::string(nameOf(commandOutcomeNames, outcome)) },
             { "fence", std::to_string(m_ledger.fencingToken()) } });
     if (found == m_state.tasks.end())
         return;
-    if (outcome == OrderOutcome::Superseded)
+    if (outcome == CommandOutcome::Superseded)
         m_ledger.raiseFencingToken();
-    if (outcome == OrderOutcome::Invalid && found->second.action == MachineAction::Move) {
+    if (outcome == CommandOutcome::Invalid && found->second.action == MachineAction::Move) {
         // The platform rejects the move; the machine stays in its pool.
         m_state.refusedMoves.insert({ machine, found->second.toPool });
         m_state.tasks.erase(found);
@@ -266,7 +266,7 @@
         m_ledger.markDirty();
         return;
     }
-    if (outcome != OrderOutcome::Accepted)
+    if (outcome != CommandOutcome::Accepted)
         return;
     m_orderAcceptedAt[machine] = m_context.clock.now();
     found->second.state = MachineTaskState::Ordered;
@@ -285,7 +285,7 @@
         const auto committed = m_committedTasks.find(it->first);
         const bool isTaskAbandoned = isAbandoned(m_state, task) && !m_ordersInFlight.contains(it->first);
         if (committed == m_committedTasks.end() || committed->second != encodeTask(task)
-            || !(isBack(m_state, task) || isTaskAbandoned)) {
+            || !(hasMachineReturned(m_state, task) || isTaskAbandoned)) {
             ++it;
             continue;
         }
@@ -298,7 +298,7 @@
             m_changedWaves.insert(task.wave);
             m_committedWaves.erase(task.wave);
         }
-        m_state.movedAt[task.machine] = m_context.clock.now();
+        m_state.lastTaskEndedAt[task.machine] = m_context.clock.now();
         m_changedTasks.insert(task.machine);
         it = m_state.tasks.erase(it);
         m_ledger.markDirty();
@@ -325,7 +325,7 @@
         { { table, key, m_context.codec.encodeWaveState(wave, completed) } } };
     // A delayed "running" status must not overwrite "completed".
     if (!completed)
-        transaction.expectations.push_back({ table, key, 0 });
+        transaction.preconditions.push_back({ table, key, 0 });
     m_context.table.commit(
         transaction, statusTimeout, [this, wave, completed, alive = m_alive](TableResult<Version> result) {
             if (!*alive || m_ended)
--- a/src/libfleet/machine_coordinator_test.cpp
+++ b/src/libfleet/machine_coordinator_test.cpp
@@ -24,7 +24,7 @@
     int maintenanceOrders = 0;
     bool ignoresOrders = false; ///< accepts maintenance orders without effect
 
-    void list(std::function<void(tl::expected<std::vector<Machine>, OrderOutcome>)> callback) override
+    void list(std::function<void(tl::expected<std::vector<Machine>, CommandOutcome>)> callback) override
     {
         std::vector<Machine> out;
         for (const auto& [id, machine] : machines)
@@ -33,20 +33,20 @@
     }
 
     void move(const std::string& machine, const std::string& pool, std::uint64_t,
-        EndpointControl::OrderCallback callback) override
+        EndpointControl::CommandCallback callback) override
     {
         machines[machine].pool = pool;
         machines[machine].vm += "'";
-        postAnswer([callback] { callback(OrderOutcome::Accepted); });
+        postAnswer([callback] { callback(CommandOutcome::Accepted); });
     }
 
-    void maintain(const std::string& machine, std::int64_t, std::uint64_t,
-        EndpointControl::OrderCallback callback) override
+    void startMaintenance(const std::string& machine, std::int64_t, std::uint64_t,
+        EndpointControl::CommandCallback callback) override
     {
         ++maintenanceOrders;
         if (!ignoresOrders)
             machines[machine].vm += "'";
-        postAnswer([callback] { callback(OrderOutcome::Accepted); });
+        postAnswer([callback] { callback(CommandOutcome::Accepted); });
     }
 
 private:
--- a/src/libfleet/pool_holder.cpp
+++ b/src/libfleet/pool_holder.cpp
@@ -62,15 +62,15 @@
 
 PoolHolder::~PoolHolder() { *m_alive = false; }
 
-void PoolHolder::begin(const FleetConfig& config, const std::map<std::string, VmEntry>& vms)
+void PoolHolder::begin(const FleetConfig& config, const std::map<std::string, VmRegistration>& vms)
 {
     m_begun = true;
     const auto now = m_context.clock.now();
     m_state.limits.vmLease = std::min(m_state.limits.vmLease, m_maxVmLease);
     if (m_state.term > 0) {
         const auto longestLease = std::chrono::duration<double, std::milli>(m_state.limits.vmLease)
-            / m_state.limits.slowestVmClock;
-        m_state.uncertainUntil
+            / m_state.limits.minVmClockRate;
+        m_state.recoveryDeadline
             = now + std::chrono::duration_cast<milliseconds>(longestLease) + takeoverMargin;
     }
     applyConfig(config);
@@ -90,13 +90,13 @@
 void PoolHolder::requestMachineList()
 {
     m_context.machines.list(
-        [this, alive = m_alive](tl::expected<std::vector<Machine>, OrderOutcome> machines) {
+        [this, alive = m_alive](tl::expected<std::vector<Machine>, CommandOutcome> machines) {
             if (!*alive || m_ended)
                 return;
             if (!machines) {
                 logEvent(LogLevel::Warning, "machine_list_failed",
                     { { "pool", m_state.pool },
-                        { "outcome", std::string(nameOf(orderOutcomeNames, machines.error())) } });
+                        { "outcome", std::string(nameOf(commandOutcomeNames, machines.error())) } });
                 return; // the holder then waits until the VMs' leases have expired
             }
             std::set<std::string> vms;
@@ -104,7 +104,7 @@
                 if (machine.pool == m_state.pool && machine.state == MachineState::Up && !machine.vm.empty())
                     vms.insert(machine.vm);
             }
-            m_state.knownVms = std::move(vms);
+            m_state.platformVms = std::move(vms);
             scheduleReconcile(reconcileDelay);
         });
 }
@@ -129,7 +129,7 @@
         if (!job)
             return; // JobDirectory has logged the error
         if (record.version >= m_acquiredVersion)
-            noteArrival(m_state, *job, m_context.clock.now());
+            recordArrival(m_state, *job, m_context.clock.now());
         addRecordedJob(std::move(*job), record);
     }
     if (record.cancelled)
@@ -165,7 +165,7 @@
     scheduleReconcile(reconcileDelay);
 }
 
-void PoolHolder::listVm(const VmEntry& vm)
+void PoolHolder::listVm(const VmRegistration& vm)
 {
     if (!m_begun)
         return;
@@ -250,7 +250,7 @@
 {
     while (!m_state.arrivals.empty() && now - m_state.arrivals.front().at > m_state.limits.arrivalWindow * 2)
         m_state.arrivals.pop_front();
-    auto load = loadOf(m_state, now);
+    auto load = computeLoad(m_state, now);
     if (load == m_publishedLoad)
         return;
     const bool urgent = load.empty != m_publishedLoad.empty;
@@ -303,7 +303,7 @@
     if (isComplete) {
         for (const auto& [name, vm] : m_state.vms) {
             if (vm.applied > vm.acknowledged)
-                batch.completions.emplace(name, DurableCompletions { vm.born, vm.applied });
+                batch.completions.emplace(name, DurableCompletions { vm.bootTime, vm.applied });
         }
     }
     return batch;
@@ -314,7 +314,7 @@
     m_jobsInTransaction.clear();
     for (const auto& [name, completions] : batch.completions) {
         auto found = m_state.vms.find(name);
-        if (found != m_state.vms.end() && found->second.born == completions.bootTime)
+        if (found != m_state.vms.end() && found->second.bootTime == completions.bootTime)
             found->second.acknowledged = std::max(found->second.acknowledged, completions.lastNumber);
     }
     for (const auto& id : batch.jobs) {
@@ -339,13 +339,13 @@
     }
     const auto wallNow = std::chrono::duration_cast<WallTime>(m_context.clock.wallNow().time_since_epoch());
     const auto queue = m_state.queues.find(job.spec.queue);
-    const auto objective = objectiveSpan(job, queue == m_state.queues.end() ? nullptr : &queue->second);
+    const auto objective = objectiveDuration(job, queue == m_state.queues.end() ? nullptr : &queue->second);
     const auto elapsed = wallNow - job.spec.acceptedAt;
     const std::string timeliness(nameOf(timelinessNames, timelinessOf(elapsed, objective)));
     // Zero if earlier holders started all of its tasks.
-    const auto runTime = job.firstStart == TimePoint {}
+    const auto runTime = job.firstStartAt == TimePoint {}
         ? milliseconds(0)
-        : std::chrono::duration_cast<milliseconds>(m_context.clock.now() - job.firstStart);
+        : std::chrono::duration_cast<milliseconds>(m_context.clock.now() - job.firstStartAt);
     m_context.metrics.count(
         "jobs_ended_total{pool=\"" + m_state.pool + "\",timeliness=\"" + timeliness + "\"}");
     logEvent(LogLevel::Info, "job_ended",
--- a/src/libfleet/pool_holder_calls.cpp
+++ b/src/libfleet/pool_holder_calls.cpp
@@ -20,20 +20,20 @@
     return { vm.entry.address, vm.entry.id, m_ledger.fencingToken() };
 }
 
-void PoolHolder::handleOrderOutcome(const std::string& vm, OrderOutcome outcome)
+void PoolHolder::handleOrderOutcome(const std::string& vm, CommandOutcome outcome)
 {
-    if (outcome == OrderOutcome::Superseded) {
+    if (outcome == CommandOutcome::Superseded) {
         logEvent(LogLevel::Warning, "order_superseded",
             { { "pool", m_state.pool }, { "vm", vm }, { "fence", std::to_string(m_ledger.fencingToken()) } });
         m_ledger.raiseFencingToken();
     }
-    if (outcome == OrderOutcome::WrongVm) {
+    if (outcome == CommandOutcome::WrongVm) {
         // The VM has ended, and all its runs with it.
         auto found = m_state.vms.find(vm);
         if (found == m_state.vms.end())
             return;
         found->second.listed = false;
-        found->second.silent = true;
+        found->second.isUnresponsive = true;
         found->second.leaseUntil = milliseconds(0);
     }
 }
@@ -45,7 +45,7 @@
         logEvent(LogLevel::Info, "task_stop",
             { { "task", toString(stop.task) }, { "run", std::to_string(stop.run) }, { "vm", stop.vm } });
         m_context.endpoints.stop(
-            makeTarget(vm), stop.task, stop.run, [this, stop, alive = m_alive](OrderOutcome outcome) {
+            makeTarget(vm), stop.task, stop.run, [this, stop, alive = m_alive](CommandOutcome outcome) {
                 if (!*alive || m_ended)
                     return;
                 handleOrderOutcome(stop.vm, outcome);
@@ -58,30 +58,31 @@
 void PoolHolder::sendStarts(TimePoint now)
 {
     const auto wallNow = std::chrono::duration_cast<WallTime>(m_context.clock.wallNow().time_since_epoch());
-    for (const auto& start : passGate(m_state, m_waitingStarts, planStarts(m_state, now, wallNow), now)) {
+    for (const auto& start :
+        takeReadyStarts(m_state, m_waitingStarts, planStarts(m_state, now, wallNow), now)) {
         const auto& vm = m_state.vms.find(start.vm)->second;
         m_context.metrics.count("task_starts_total{pool=\"" + m_state.pool + "\"}");
         m_context.endpoints.start(
-            makeTarget(vm), start.order, [this, start, now, alive = m_alive](OrderOutcome outcome) {
+            makeTarget(vm), start.command, [this, start, now, alive = m_alive](CommandOutcome outcome) {
                 if (*alive && !m_ended)
                     onStartOutcome(start, outcome, now);
             });
     }
 }
 
-void PoolHolder::onStartOutcome(const StartAction& start, OrderOutcome outcome, TimePoint sentAt)
+void PoolHolder::onStartOutcome(const StartAction& start, CommandOutcome outcome, TimePoint sentAt)
 {
     const auto now = m_context.clock.now();
     m_context.metrics.count(
-        "task_start_outcomes_total{outcome=\"" + std::string(nameOf(orderOutcomeNames, outcome)) + "\"}");
+        "task_start_outcomes_total{outcome=\"" + std::string(nameOf(commandOutcomeNames, outcome)) + "\"}");
     m_context.metrics.observe("task_start_seconds", now - sentAt);
     logEvent(LogLevel::Info, "task_start",
-        { { "task", toString(start.order.task) }, { "run", std::to_string(start.order.run) },
+        { { "task", toString(start.command.task) }, { "run", std::to_string(start.command.run) },
             { "vm", start.vm }, { "fence", std::to_string(m_ledger.fencingToken()) },
-            { "outcome", std::string(nameOf(orderOutcomeNames, outcome)) } });
+            { "outcome", std::string(nameOf(commandOutcomeNames, outcome)) } });
     handleOrderOutcome(start.vm, outcome);
-    applyStartOutcome(m_state, start.vm, start.order.task, start.order.run, outcome, now);
-    if (outcome != OrderOutcome::Accepted)
+    applyStartOutcome(m_state, start.vm, start.command.task, start.command.run, outcome, now);
+    if (outcome != CommandOutcome::Accepted)
         scheduleReconcile(reconcileDelay);
 }
 
@@ -90,7 +91,7 @@
     if (holdState.isInFlight)
         return false;
     const bool hasUnsentAck = vm.applied > holdState.lastAckSent;
-    if (vm.read && vm.runs.empty() && vm.strangers.empty() && !hasUnsentAck && !vm.silent)
+    if (vm.hasReported && vm.runs.empty() && vm.orphanRuns.empty() && !hasUnsentAck && !vm.isUnresponsive)
         return false;
     if (now < holdState.nextHoldAt)
         return false;
@@ -117,20 +118,20 @@
 
 void PoolHolder::sendHold(const std::string& name, VmState& vm, HoldState& holdState, TimePoint now)
 {
-    const auto order = planHold(vm, m_state.limits, now);
+    const auto command = planHeartbeat(vm, m_state.limits, now);
     holdState.isInFlight = true;
     holdState.ackPendingSince = TimePoint {};
     holdState.lastAckSent = vm.acknowledged;
     m_context.metrics.count("vm_holds_total{pool=\"" + m_state.pool + "\"}");
-    m_context.endpoints.hold(makeTarget(vm), order,
-        [this, name, now, alive = m_alive](tl::expected<VmReport, OrderOutcome> report) {
+    m_context.endpoints.heartbeat(makeTarget(vm), command,
+        [this, name, now, alive = m_alive](tl::expected<VmReport, CommandOutcome> report) {
             if (*alive && !m_ended)
                 onReport(name, std::move(report), now);
         });
 }
 
 void PoolHolder::onReport(
-    const std::string& name, tl::expected<VmReport, OrderOutcome> report, TimePoint sentAt)
+    const std::string& name, tl::expected<VmReport, CommandOutcome> report, TimePoint sentAt)
 {
     const auto now = m_context.clock.now();
     auto& holdState = m_holdStates[name];
@@ -140,20 +141,20 @@
         return;
     auto& vm = found->second;
     if (!report) {
-        if (!vm.silent)
+        if (!vm.isUnresponsive)
             logEvent(LogLevel::Warning, "vm_lost",
                 { { "vm", name }, { "pool", m_state.pool },
-                    { "outcome", std::string(nameOf(orderOutcomeNames, report.error())) },
+                    { "outcome", std::string(nameOf(commandOutcomeNames, report.error())) },
                     { "runs", std::to_string(vm.runs.size()) } });
-        applySilence(m_state, name);
+        markUnresponsive(m_state, name);
         handleOrderOutcome(name, report.error());
         holdState.nextHoldAt = now + holdRetryDelay;
         return scheduleReconcile(holdRetryDelay);
     }
-    if (vm.silent)
+    if (vm.isUnresponsive)
         logEvent(LogLevel::Info, "vm_back", { { "vm", name }, { "pool", m_state.pool } });
     const auto before = vm.applied;
-    const bool isRebooted = vm.read && vm.born != report->born;
+    const bool isRebooted = vm.hasReported && vm.bootTime != report->bootTime;
     applyReport(m_state, name, *report, sentAt, now);
     if (isRebooted)
         holdState.lastAckSent = 0;
@@ -175,12 +176,13 @@
 
 void PoolHolder::sendPaces(const std::string& name, TimePoint now)
 {
-    for (const auto& pace : planPaces(m_state, name, now)) {
+    for (const auto& throttle : planThrottling(m_state, name, now)) {
         const auto& vm = m_state.vms.find(name)->second;
         logEvent(LogLevel::Info, "task_pace",
-            { { "task", toString(pace.task) }, { "vm", name }, { "percent", std::to_string(pace.percent) } });
-        m_context.endpoints.pace(makeTarget(vm), pace.task, pace.run, pace.percent,
-            [this, name, alive = m_alive](OrderOutcome outcome) {
+            { { "task", toString(throttle.task) }, { "vm", name },
+                { "percent", std::to_string(throttle.percent) } });
+        m_context.endpoints.throttle(makeTarget(vm), throttle.task, throttle.run, throttle.percent,
+            [this, name, alive = m_alive](CommandOutcome outcome) {
                 if (*alive && !m_ended)
                     handleOrderOutcome(name, outcome);
             });
--- a/src/libfleet/step_advisor.cpp
+++ b/src/libfleet/step_advisor.cpp
@@ -19,13 +19,13 @@
 {
     if (m_isRequestOpen)
         return;
-    const auto question = planAdvice(m_state, m_clock.now());
+    const auto question = planAdviceRequest(m_state, m_clock.now());
     if (!question)
         return;
     m_isRequestOpen = true;
-    m_service.ask(question->step, question->vms, question->expected,
+    m_service.requestAdvice(question->step, question->vms, question->expected,
         [this, alive = m_alive, question = *question, sentAt = m_clock.now()](
-            const tl::expected<Advice, OrderOutcome>& answer) {
+            const tl::expected<Advice, CommandOutcome>& answer) {
             if (!*alive)
                 return;
             m_isRequestOpen = false;
@@ -34,7 +34,7 @@
             logEvent(answer ? LogLevel::Info : LogLevel::Warning, "step_advice",
                 { { "step", toString(question.step) }, { "asked", std::to_string(question.vms.size()) },
                     { "outcome",
-                        answer ? "answered" : std::string(nameOf(orderOutcomeNames, answer.error())) },
+                        answer ? "answered" : std::string(nameOf(commandOutcomeNames, answer.error())) },
                     { "allowed", std::to_string(answer ? answer->tickets.size() : 0) } });
             applyAdvice(m_state, question, answer, now);
             m_onAnswer();
--- a/src/libfleet/timed_table.cpp
+++ b/src/libfleet/timed_table.cpp
@@ -27,9 +27,9 @@
 template <typename T> void TimedTable::recordOutcome(const TableResult<T>& result)
 {
     if (result || isAnswer(result.error()))
-        noteContact(m_contact, m_clock.now());
-    else if (result.error() == TableFailure::NotDone)
-        noteNoContact(m_contact);
+        recordContact(m_contact, m_clock.now());
+    else if (result.error() == TableFailure::NotApplied)
+        recordFailedContact(m_contact);
     // Unknown and Overloaded count neither way. After a lost answer or a timeout the table may have processed
     // the call, or may be slow; and it reports overload to all nodes when many read at once. If the table
     // can't be reached, the time since the last answer shows it.
@@ -46,14 +46,14 @@
 void TimedTable::commit(
     const TableTransaction& transaction, milliseconds timeout, TableCallback<Version> callback)
 {
-    m_table->commit(transaction, patience(m_commitTimes, timeout),
+    m_table->commit(transaction, responseTimeout(m_commitTimes, timeout),
         [this, sentAt = m_clock.now(), callback = std::move(callback)](TableResult<Version> result) {
             const auto responseTime = m_clock.now() - sentAt;
             m_metrics.observe("table_commit_seconds", responseTime);
             if (!result && result.error() == TableFailure::Unknown)
-                noteSilence(m_commitTimes);
+                recordTimeout(m_commitTimes);
             else
-                noteAnswer(m_commitTimes, responseTime);
+                recordResponseTime(m_commitTimes, responseTime);
             recordOutcome(result);
             callback(result);
         });
--- a/src/libkernel/budget.cpp
+++ b/src/libkernel/budget.cpp
@@ -10,7 +10,7 @@
         disruptions.begin(), disruptions.end(), [vm](const auto& entry) { return entry.vm == vm; });
 }
 
-std::size_t unavailable(const Usage& usage)
+std::size_t unavailableCount(const Usage& usage)
 {
     auto vms = usage.notReportedHealthy;
     for (const auto& entry : usage.disruptions)
@@ -22,7 +22,7 @@
 {
     if (contains(usage.disruptions, vm) || usage.notReportedHealthy.contains(std::string(vm)))
         return false;
-    return unavailable(usage) + 1 <= usage.maxUnavailable;
+    return unavailableCount(usage) + 1 <= usage.maxUnavailable;
 }
 
 } // namespace damask::budget
--- a/src/libkernel/idempotency.cpp
+++ b/src/libkernel/idempotency.cpp
@@ -23,17 +23,17 @@
 
 } // namespace
 
-Verdict judge(const Claim& claim, std::string_view fingerprint, bool isHolderAlive)
+RepeatDecision decideRepeat(const Claim& claim, std::string_view fingerprint, bool isHolderAlive)
 {
     if (claim.fingerprint != fingerprint)
-        return Verdict::OtherRequest;
+        return RepeatDecision::OtherRequest;
     if (claim.state == ClaimState::Done)
-        return claim.answer ? Verdict::Replay : Verdict::ResponseNotStored;
+        return claim.answer ? RepeatDecision::Replay : RepeatDecision::ResponseNotStored;
     const bool isRunning = claim.state == ClaimState::Running && isHolderAlive;
-    return isRunning ? Verdict::InUse : Verdict::OutcomeUnknown;
+    return isRunning ? RepeatDecision::InUse : RepeatDecision::OutcomeUnknown;
 }
 
-std::vector<std::string> claimRows(std::chrono::system_clock::time_point now, std::string_view hash)
+std::vector<std::string> claimRowKeys(std::chrono::system_clock::time_point now, std::string_view hash)
 {
     const auto bucket = bucketOf(now);
     std::vector<std::string> rows;
@@ -42,7 +42,7 @@
     return rows;
 }
 
-std::string expiredPrefix(std::chrono::system_clock::time_point now, std::uint64_t slice)
+std::string expiredClaimPrefix(std::chrono::system_clock::time_point now, std::uint64_t slice)
 {
     constexpr std::string_view digits = "0123456789abcdef";
     const auto age = static_cast<std::int64_t>(slice / slicesPerBucket) % sweptBuckets;
--- a/src/libkernel/idempotency_test.cpp
+++ b/src/libkernel/idempotency_test.cpp
@@ -36,7 +36,7 @@
 
     Row* currentRow()
     {
-        for (const auto& key : claimRows(now, "h")) {
+        for (const auto& key : claimRowKeys(now, "h")) {
             if (auto found = table.find(key); found != table.end())
                 return &found->second;
         }
@@ -56,11 +56,11 @@
         if (node.held)
             return;
         if (auto* row = currentRow()) {
-            judge(row->claim, "f", isHolderAlive(row->claim));
+            decideRepeat(row->claim, "f", isHolderAlive(row->claim));
             return;
         }
         const Claim claim { std::to_string(index), node.incarnation, 0, "f", ClaimState::Running, {} };
-        table[claimRows(now, "h")[1]] = { claim, nextVersion };
+        table[claimRowKeys(now, "h")[1]] = { claim, nextVersion };
         if (!isReplyLost) {
             node.held = claim;
             node.version = nextVersion;
@@ -84,7 +84,7 @@
         if (!node.held || !row || row->version != node.version)
             return;
         if (node.dispatched)
-            *row = { { node.held->node, node.held->incarnation, 0, "f", ClaimState::Done, KeptAnswer {} },
+            *row = { { node.held->node, node.held->incarnation, 0, "f", ClaimState::Done, StoredResponse {} },
                 nextVersion++ };
         else
             table.clear();
@@ -121,15 +121,15 @@
 BOOST_AUTO_TEST_CASE(repeatDecisionDependsOnClaim)
 {
     Claim claim { "a", 1, 0, "f", ClaimState::Running, {} };
-    BOOST_TEST((judge(claim, "f", true) == Verdict::InUse));
-    BOOST_TEST((judge(claim, "f", false) == Verdict::OutcomeUnknown));
-    BOOST_TEST((judge(claim, "g", true) == Verdict::OtherRequest));
+    BOOST_TEST((decideRepeat(claim, "f", true) == RepeatDecision::InUse));
+    BOOST_TEST((decideRepeat(claim, "f", false) == RepeatDecision::OutcomeUnknown));
+    BOOST_TEST((decideRepeat(claim, "g", true) == RepeatDecision::OtherRequest));
     claim.state = ClaimState::Unknown;
-    BOOST_TEST((judge(claim, "f", true) == Verdict::OutcomeUnknown));
+    BOOST_TEST((decideRepeat(claim, "f", true) == RepeatDecision::OutcomeUnknown));
     claim.state = ClaimState::Done;
-    BOOST_TEST((judge(claim, "f", false) == Verdict::ResponseNotStored));
-    claim.answer = KeptAnswer {};
-    BOOST_TEST((judge(claim, "f", false) == Verdict::Replay));
+    BOOST_TEST((decideRepeat(claim, "f", false) == RepeatDecision::ResponseNotStored));
+    claim.answer = StoredResponse {};
+    BOOST_TEST((decideRepeat(claim, "f", false) == RepeatDecision::Replay));
 }
 
 BOOST_AUTO_TEST_CASE(claimIsFoundDespiteClockDifferenceUpToRetention)
@@ -138,10 +138,11 @@
         const std::chrono::system_clock::time_point made { std::chrono::minutes(
             *rc::gen::inRange(10'000, 10'000'000)) };
         const auto later = made + std::chrono::minutes(*rc::gen::inRange(-720, 720));
-        const auto written = claimRows(made, "h")[1];
-        const auto lookedUp = claimRows(later, "h");
+        const auto written = claimRowKeys(made, "h")[1];
+        const auto lookedUp = claimRowKeys(later, "h");
         RC_ASSERT(std::find(lookedUp.begin(), lookedUp.end(), written) != lookedUp.end());
         for (std::uint64_t slice = 0; slice < 16384; slice += 4096)
-            RC_ASSERT(!written.starts_with(expiredPrefix(later, slice).substr(0, written.rfind('/') + 1)));
+            RC_ASSERT(
+                !written.starts_with(expiredClaimPrefix(later, slice).substr(0, written.rfind('/') + 1)));
     });
 }
--- a/src/libkernel/lease.cpp
+++ b/src/libkernel/lease.cpp
@@ -39,7 +39,7 @@
 Content nextContent(const State& state, const Lease& lease, AttemptKind kind)
 {
     switch (kind) {
-    case AttemptKind::Take:
+    case AttemptKind::Acquire:
         return { state.node, lease.content.epoch + 1, 0 };
     case AttemptKind::Renew:
         return { state.node, lease.content.epoch, lease.content.renewal + 1 };
@@ -56,7 +56,7 @@
     attempt.keys.push_back(key);
     attempt.transaction.conditions.push_back({ leaseKey(key), lease.version });
     attempt.transaction.writes.push_back({ leaseKey(key), toText(nextContent(state, lease, attempt.kind)) });
-    if (attempt.kind == AttemptKind::Take)
+    if (attempt.kind == AttemptKind::Acquire)
         attempt.transaction.writes.push_back({ fenceKey(key), json { { "holder", state.node } }.dump() });
 }
 
@@ -67,8 +67,8 @@
     return now - lease.unchangedSince >= delay + (isFree ? Duration::zero() : settings.length);
 }
 
-bool shouldRelease(const Lease& lease, const Settings& settings, const Surroundings& cluster,
-    std::size_t rank, bool needsHolder, TimePoint now)
+bool shouldRelease(const Lease& lease, const Settings& settings, const ClusterView& cluster, std::size_t rank,
+    bool needsHolder, TimePoint now)
 {
     if (cluster.leaving || !needsHolder)
         return true;
@@ -103,11 +103,11 @@
         lease.held = false;
 }
 
-std::vector<Attempt> decide(
-    State& state, const Settings& settings, const Surroundings& cluster, TimePoint now)
+std::vector<Attempt> planAttempts(
+    State& state, const Settings& settings, const ClusterView& cluster, TimePoint now)
 {
     std::vector<Attempt> attempts;
-    if (now - cluster.lastContact > settings.contactLimit)
+    if (now - cluster.lastContact > settings.maxContactAge)
         return attempts;
     for (const auto& key : cluster.keys)
         state.leases.try_emplace(key, Lease { .unchangedSince = now });
@@ -129,7 +129,7 @@
         }
         if (cluster.leaving || !needsHolder || !shouldAcquire(lease, settings, ownRank, now))
             continue;
-        Attempt acquire { AttemptKind::Take, {}, {}, now };
+        Attempt acquire { AttemptKind::Acquire, {}, {}, now };
         addLease(state, acquire, key);
         attempts.push_back(std::move(acquire));
     }
@@ -140,7 +140,8 @@
     return attempts;
 }
 
-void finish(State& state, const Attempt& attempt, const PlatformResult<TableVersion>& result, TimePoint now)
+void applyResult(
+    State& state, const Attempt& attempt, const PlatformResult<TableVersion>& result, TimePoint now)
 {
     for (const auto& key : attempt.keys) {
         auto& lease = state.leases[key];
@@ -151,7 +152,7 @@
             if (isLost || error.failure == PlatformFailure::OutcomeUnknown)
                 lease.held = false;
             // After a failed acquisition, restarts the wait before the next one.
-            lease.unchangedSince = attempt.kind == AttemptKind::Take ? now : lease.unchangedSince;
+            lease.unchangedSince = attempt.kind == AttemptKind::Acquire ? now : lease.unchangedSince;
             continue;
         }
         if (*result < lease.version)
@@ -161,9 +162,9 @@
         lease.unchangedSince = now;
         lease.renewedAt = attempt.sentAt;
         lease.held = attempt.kind != AttemptKind::Release;
-        if (attempt.kind != AttemptKind::Take)
+        if (attempt.kind != AttemptKind::Acquire)
             continue;
-        lease.fence = *result;
+        lease.fenceVersion = *result;
         lease.acquiredAt = now;
     }
 }
@@ -175,13 +176,13 @@
     if (found == state.leases.end() || !found->second.held)
         return false;
     const bool isValid = now < found->second.renewedAt + settings.length - settings.safetyMargin;
-    return isValid && now - lastContact <= settings.contactLimit;
+    return isValid && now - lastContact <= settings.maxContactAge;
 }
 
 RowCondition fenceCondition(const State& state, std::string_view key)
 {
     const auto found = state.leases.find(std::string(key));
-    return { fenceKey(key), found == state.leases.end() ? 0 : found->second.fence };
+    return { fenceKey(key), found == state.leases.end() ? 0 : found->second.fenceVersion };
 }
 
 } // namespace damask::lease
--- a/src/libkernel/lease_test.cpp
+++ b/src/libkernel/lease_test.cpp
@@ -36,13 +36,13 @@
         for (const auto& row : changes->rows)
             observe(node.state, row, now);
         node.seenVersion = changes->version;
-        return decide(node.state, settings, { { key }, members, now, false }, now);
+        return planAttempts(node.state, settings, { { key }, members, now, false }, now);
     }
 
     void step(const std::string& name)
     {
         for (const auto& attempt : readAndPlan(name))
-            finish(nodes[name].state, attempt, table.commit(attempt.transaction), now);
+            applyResult(nodes[name].state, attempt, table.commit(attempt.transaction), now);
     }
 
     /// Runs all nodes except \p paused for \p time.
@@ -98,8 +98,8 @@
     BOOST_TEST(!table.commit(staleTransaction).has_value());
     // The paused node resumes and commits a renewal before it has read the lease row again.
     auto& state = nodes[paused].state;
-    for (const auto& attempt : decide(state, settings, { { key }, members, now, false }, now))
-        finish(state, attempt, table.commit(attempt.transaction), now);
+    for (const auto& attempt : planAttempts(state, settings, { { key }, members, now, false }, now))
+        applyResult(state, attempt, table.commit(attempt.transaction), now);
     BOOST_TEST(!mayNodeAct(paused));
     run(1s);
     BOOST_TEST(holderCount() == 1);
@@ -121,7 +121,7 @@
     const auto lastContact = now;
     now += settings.length * 3;
     for (auto& [name, node] : nodes) {
-        BOOST_TEST(decide(node.state, settings, { { key }, members, lastContact, false }, now).empty());
+        BOOST_TEST(planAttempts(node.state, settings, { { key }, members, lastContact, false }, now).empty());
         BOOST_TEST(!mayAct(node.state, settings, key, lastContact, now));
     }
     run(10s);
--- a/src/libkernel/maintenance.cpp
+++ b/src/libkernel/maintenance.cpp
@@ -89,7 +89,7 @@
     // The permit's transaction may have been delayed until its reports were out of date. So the budget is
     // checked again before the first command to the VM.
     const bool isOverBudget
-        = !tracker.commandSentAt && budget::unavailable(budgetUsage(pool)) > pool.maxUnavailable;
+        = !tracker.commandSentAt && budget::unavailableCount(budgetUsage(pool)) > pool.maxUnavailable;
     if (isOverBudget || isOperationCancelled(pool, vm)) {
         vm.phase = Phase::Attaching;
         return;
@@ -163,7 +163,7 @@
             + (vm.report && vm.report->reachable ? "" : ": it can't be reached") });
 }
 
-VmTracker& trackerFor(Watches& trackers, const Vm& vm, const Settings& settings, TimePoint now)
+VmTracker& trackerFor(VmTrackers& trackers, const Vm& vm, const Settings& settings, TimePoint now)
 {
     auto [found, isNew] = trackers.vms.try_emplace(vm.name);
     auto& tracker = found->second;
@@ -200,7 +200,7 @@
     return found == pool.waves.end() ? nullptr : &*found;
 }
 
-void advanceVms(Pool& pool, Watches& trackers, const Settings& settings, TimePoint now, StepResult& result)
+void advanceVms(Pool& pool, VmTrackers& trackers, const Settings& settings, TimePoint now, StepResult& result)
 {
     for (auto& vm : pool.vms) {
         auto& tracker = trackerFor(trackers, vm, settings, now);
@@ -235,7 +235,7 @@
     trackers.isFirstStep = false;
 }
 
-StepResult step(Pool& pool, Watches& trackers, const Settings& settings, TimePoint now)
+StepResult step(Pool& pool, VmTrackers& trackers, const Settings& settings, TimePoint now)
 {
     StepResult result;
     pool.conditions.clear();
--- a/src/libkernel/maintenance_permits.cpp
+++ b/src/libkernel/maintenance_permits.cpp
@@ -85,7 +85,7 @@
         if (!budget::mayDisrupt(budgetUsage(pool), vm->name))
             return;
         grantPermit(pool, *vm, budget::Reason::Wave, std::string(wavePrefix) + wave.name, result);
-        result.wavesUsed.insert(wave.name);
+        result.wavesWithNewPermits.insert(wave.name);
     }
 }
 
--- a/src/libkernel/maintenance_pvt.h
+++ b/src/libkernel/maintenance_pvt.h
@@ -16,7 +16,8 @@
 /// The wave that \p operation (`wave/<name>`) names, or nullptr.
 Wave* findWave(Pool& pool, std::string_view operation);
 /// Advances the phase of each VM that is out of service, and adds the commands to send to \p result.
-void advanceVms(Pool& pool, Watches& trackers, const Settings& settings, TimePoint now, StepResult& result);
+void advanceVms(
+    Pool& pool, VmTrackers& trackers, const Settings& settings, TimePoint now, StepResult& result);
 /// Adds a disruption for each failed VM. Removes those of VMs that are healthy again or left the pool.
 void updateFailureEntries(Pool& pool);
 /// Grants permits for moves and waves, as far as the budget allows.
--- a/src/libkernel/membership.cpp
+++ b/src/libkernel/membership.cpp
@@ -76,23 +76,23 @@
 
 } // namespace
 
-Verdict observe(State& state, const Heartbeat& heartbeat, TimePoint now)
+HeartbeatResult observe(State& state, const Heartbeat& heartbeat, TimePoint now)
 {
     if (heartbeat.node == state.self) {
         if (heartbeat.incarnation <= state.incarnation)
-            return Verdict::Stale;
+            return HeartbeatResult::Stale;
         state.superseded = true;
-        return Verdict::Superseded;
+        return HeartbeatResult::Superseded;
     }
     if (isAddressReused(state, heartbeat))
-        return Verdict::Stale;
+        return HeartbeatResult::Stale;
     auto found = state.members.find(heartbeat.node);
     if (found != state.members.end() && !isNewer(heartbeat, found->second.heartbeat))
-        return Verdict::Stale;
+        return HeartbeatResult::Stale;
     if (heartbeat.age >= state.limits.forgetAfter)
-        return Verdict::Stale;
+        return HeartbeatResult::Stale;
     if (found == state.members.end() && state.members.size() >= state.limits.members)
-        return Verdict::Stale;
+        return HeartbeatResult::Stale;
     removeEarlierAddressUsers(state, heartbeat);
     found = state.members.find(heartbeat.node);
     PeerView view { heartbeat, now - heartbeat.age };
@@ -102,7 +102,7 @@
         view.lastForwarded = found->second.lastForwarded;
     }
     state.members[heartbeat.node] = std::move(view);
-    return Verdict::Newer;
+    return HeartbeatResult::Newer;
 }
 
 std::chrono::milliseconds suspicionTimeout(const State& state)
@@ -118,7 +118,7 @@
     return view.heartbeat.leaving ? Phase::Leaving : Phase::Live;
 }
 
-void expire(State& state, TimePoint now)
+void removeExpired(State& state, TimePoint now)
 {
     std::erase_if(state.members,
         [&](const auto& entry) { return now - entry.second.lastHeard >= state.limits.forgetAfter; });
--- a/src/libkernel/membership_test.cpp
+++ b/src/libkernel/membership_test.cpp
@@ -28,8 +28,8 @@
 BOOST_AUTO_TEST_CASE(heartbeatOfAnEarlierProcessIsStale)
 {
     State state { "a", 5 };
-    BOOST_TEST((observe(state, makeHeartbeat("b", 7, 1), start) == Verdict::Newer));
-    BOOST_TEST((observe(state, makeHeartbeat("b", 6, 900), start) == Verdict::Stale));
+    BOOST_TEST((observe(state, makeHeartbeat("b", 7, 1), start) == HeartbeatResult::Newer));
+    BOOST_TEST((observe(state, makeHeartbeat("b", 6, 900), start) == HeartbeatResult::Stale));
     BOOST_TEST(state.members.at("b").heartbeat.incarnation == 7u);
 }
 
@@ -39,15 +39,15 @@
     observe(state, makeHeartbeat("b", 7, 1, 80), start);
     observe(state, makeHeartbeat("c", 8, 1, 80), start);
     BOOST_TEST(!state.members.contains("b"));
-    BOOST_TEST((observe(state, makeHeartbeat("b", 7, 2, 80), start) == Verdict::Stale));
+    BOOST_TEST((observe(state, makeHeartbeat("b", 7, 2, 80), start) == HeartbeatResult::Stale));
 }
 
 BOOST_AUTO_TEST_CASE(nodeDetectsANewerProcessWithItsName)
 {
     State state { "a", 5 };
-    BOOST_TEST((observe(state, makeHeartbeat("a", 4, 9), start) == Verdict::Stale));
+    BOOST_TEST((observe(state, makeHeartbeat("a", 4, 9), start) == HeartbeatResult::Stale));
     BOOST_TEST(!state.superseded);
-    BOOST_TEST((observe(state, makeHeartbeat("a", 6, 1), start) == Verdict::Superseded));
+    BOOST_TEST((observe(state, makeHeartbeat("a", 6, 1), start) == HeartbeatResult::Superseded));
     BOOST_TEST(state.superseded);
 }
 
@@ -84,8 +84,8 @@
             observe(c, forwarded, now);
         for (const auto& forwarded : digest(c, now))
             observe(b, forwarded, now);
-        expire(b, now);
-        expire(c, now);
+        removeExpired(b, now);
+        removeExpired(c, now);
     }
     BOOST_TEST(b.members.empty());
     BOOST_TEST(c.members.empty());
--- a/src/libkernel/placement.cpp
+++ b/src/libkernel/placement.cpp
@@ -101,9 +101,9 @@
 void requeueOrCancel(State& state, Job& job)
 {
     release(state, job);
-    const bool isCancelled = job.progress.ending == Ending::Cancel || job.spec.cancelled;
+    const bool isCancelled = job.progress.stopReason == StopReason::Cancel || job.spec.cancelled;
     job.progress.phase = isCancelled ? Phase::Cancelled : Phase::Queued;
-    job.progress.ending = Ending::None;
+    job.progress.stopReason = StopReason::None;
     job.progress.condition.clear();
     job.progress.vm.clear();
     state.changedJobs.insert(job.spec.name);
@@ -143,7 +143,7 @@
         return;
     const auto jobs = worker.jobs;
     for (const auto& job : jobs)
-        beginEnding(state, job, Ending::Drain);
+        requestStop(state, job, StopReason::Drain);
 }
 
 void removeWorker(State& state, const std::string& vm)
@@ -169,7 +169,7 @@
         markPoolDirty(state, pool);
 }
 
-void declare(State& state, const JobSpec& spec)
+void declareJob(State& state, const JobSpec& spec)
 {
     auto [it, isNew] = state.jobs.try_emplace(spec.name);
     auto& job = it->second;
@@ -189,7 +189,7 @@
     if (isFinal(job.progress.phase))
         return;
     if (spec.cancelled && holdsResources)
-        return beginEnding(state, spec.name, Ending::Cancel);
+        return requestStop(state, spec.name, StopReason::Cancel);
     if (holdsResources)
         return;
     job.progress.phase = spec.cancelled ? Phase::Cancelled : Phase::Queued;
@@ -199,7 +199,7 @@
         enqueue(state, job);
 }
 
-void forget(State& state, const std::string& name)
+void removeJob(State& state, const std::string& name)
 {
     auto found = state.jobs.find(name);
     if (found == state.jobs.end())
@@ -211,7 +211,7 @@
     state.jobs.erase(found);
 }
 
-void restore(State& state, const std::string& name, const Progress& progress)
+void restoreProgress(State& state, const std::string& name, const Progress& progress)
 {
     auto& job = state.jobs.at(name);
     if (holdsWorker(job.progress.phase))
@@ -222,7 +222,7 @@
     if (holdsWorker(progress.phase)) {
         reserve(state, job, estimatedSize(state, job.spec));
         if (job.spec.cancelled)
-            beginEnding(state, name, Ending::Cancel);
+            requestStop(state, name, StopReason::Cancel);
         return;
     }
     if (isFinal(progress.phase))
@@ -236,6 +236,6 @@
     enqueue(state, job);
 }
 
-std::set<std::string> takeChanged(State& state) { return std::exchange(state.changedJobs, {}); }
+std::set<std::string> takeChangedJobs(State& state) { return std::exchange(state.changedJobs, {}); }
 
 } // namespace damask::placement
--- a/src/libkernel/placement_pass.cpp
+++ b/src/libkernel/placement_pass.cpp
@@ -26,7 +26,7 @@
 
 bool acceptsJobs(const Worker& worker, TimePoint now)
 {
-    return worker.accepting && worker.setAsideUntil <= now;
+    return worker.accepting && worker.quarantinedUntil <= now;
 }
 
 Resources freeCapacity(const Candidate& candidate)
@@ -120,7 +120,7 @@
     progress.epoch = pass.epoch;
     progress.task = job.spec.name + "." + std::to_string(job.spec.incarnation) + "."
         + std::to_string(progress.attempts);
-    progress.ending = Ending::None;
+    progress.stopReason = StopReason::None;
     progress.condition.clear();
     reserve(pass.state, job, size);
     pass.state.changedJobs.insert(job.spec.name);
@@ -135,7 +135,7 @@
     std::vector<const Job*> preemptible;
     for (const auto& name : candidate.worker->jobs) {
         const auto& job = pass.state.jobs.at(name);
-        if (job.progress.ending != Ending::None)
+        if (job.progress.stopReason != StopReason::None)
             available = available + job.reserved;
         else if (job.spec.priority != Priority::Urgent)
             preemptible.push_back(&job);
@@ -174,7 +174,7 @@
     if (!best)
         return false;
     for (const auto& victim : bestVictims)
-        beginEnding(pass.state, victim, Ending::Preempt);
+        requestStop(pass.state, victim, StopReason::Preempt);
     best->reservedForPreemption = best->reservedForPreemption + size;
     return true;
 }
@@ -240,9 +240,9 @@
 void pass(State& state, std::uint64_t epoch, TimePoint now)
 {
     for (auto& [vm, worker] : state.workers) {
-        if (worker.setAsideUntil == TimePoint {} || worker.setAsideUntil > now)
+        if (worker.quarantinedUntil == TimePoint {} || worker.quarantinedUntil > now)
             continue;
-        worker.setAsideUntil = {};
+        worker.quarantinedUntil = {};
         worker.jobsFailedOnlyHere.clear();
         state.dirtyPools.insert(worker.pool);
     }
--- a/src/libkernel/placement_report.cpp
+++ b/src/libkernel/placement_report.cpp
@@ -27,7 +27,7 @@
             continue;
         if (worker->second.jobsFailedOnlyHere.size() >= failuresToQuarantine)
             continue;
-        worker->second.setAsideUntil = {};
+        worker->second.quarantinedUntil = {};
         state.dirtyPools.insert(worker->second.pool);
     }
 }
@@ -43,21 +43,21 @@
         return;
     worker->second.jobsFailedOnlyHere.insert(job.spec.name);
     if (worker->second.jobsFailedOnlyHere.size() >= failuresToQuarantine)
-        worker->second.setAsideUntil = now + quarantineTime;
+        worker->second.quarantinedUntil = now + quarantineTime;
 }
 
 void endJob(State& state, Job& job, Phase phase, std::string condition)
 {
     release(state, job);
     job.progress.phase = phase;
-    job.progress.ending = Ending::None;
+    job.progress.stopReason = StopReason::None;
     job.progress.condition = std::move(condition);
     state.changedJobs.insert(job.spec.name);
 }
 
 void handleFailure(State& state, Job& job, TimePoint now)
 {
-    const bool isCancelled = job.progress.ending == Ending::Cancel;
+    const bool isCancelled = job.progress.stopReason == StopReason::Cancel;
     job.progress.failedOn.push_back(job.progress.vm);
     recordWorkerFailure(state, job, now);
     if (isCancelled)
@@ -117,14 +117,14 @@
     }
 }
 
-void beginEnding(State& state, const std::string& name, Ending ending)
+void requestStop(State& state, const std::string& name, StopReason stopReason)
 {
     auto& job = state.jobs.at(name);
-    if (!holdsWorker(job.progress.phase) || job.progress.ending == Ending::Cancel
-        || job.progress.ending == ending)
+    if (!holdsWorker(job.progress.phase) || job.progress.stopReason == StopReason::Cancel
+        || job.progress.stopReason == stopReason)
         return;
-    job.progress.ending = ending;
-    job.progress.condition = "ending: " + std::string(nameOf(endingNames, ending));
+    job.progress.stopReason = stopReason;
+    job.progress.condition = "ending: " + std::string(nameOf(stopReasonNames, stopReason));
     state.changedJobs.insert(name);
 }
 
--- a/src/libkernel/placement_test.cpp
+++ b/src/libkernel/placement_test.cpp
@@ -23,7 +23,7 @@
     {
         JobSpec spec { name, "imaging", "team", { cpu, 100, 0 }, priority };
         spec.cancelled = cancelled;
-        declare(state, spec);
+        declareJob(state, spec);
     }
 
     const Progress& progressOf(const std::string& job) { return state.jobs.at(job).progress; }
@@ -81,8 +81,8 @@
     runPass();
     addJob("urgent", 4, Priority::Urgent);
     runPass();
-    BOOST_TEST((progressOf("four").ending == Ending::Preempt));
-    BOOST_TEST((progressOf("two-1").ending == Ending::None));
+    BOOST_TEST((progressOf("four").stopReason == StopReason::Preempt));
+    BOOST_TEST((progressOf("two-1").stopReason == StopReason::None));
     addJob("late", 4);
     report("four", TaskState::Stopped);
     runPass();
@@ -103,11 +103,11 @@
     runPass();
     for (auto name : { "x", "y", "z" })
         BOOST_TEST(progressOf(name).vm == "good");
-    BOOST_TEST((state.workers.at("bad").setAsideUntil > now));
+    BOOST_TEST((state.workers.at("bad").quarantinedUntil > now));
     for (auto name : { "x", "y", "z" })
         report(name, TaskState::Failed);
-    BOOST_TEST((state.workers.at("bad").setAsideUntil <= now));
-    BOOST_TEST((state.workers.at("good").setAsideUntil <= now));
+    BOOST_TEST((state.workers.at("bad").quarantinedUntil <= now));
+    BOOST_TEST((state.workers.at("good").quarantinedUntil <= now));
 }
 
 BOOST_FIXTURE_TEST_CASE(observedUseCorrectsDeclaredSize, Placement)
@@ -132,7 +132,7 @@
     addJob("job", 1);
     runPass();
     const auto first = progressOf("job").task;
-    beginEnding(state, "job", Ending::Lost);
+    requestStop(state, "job", StopReason::Lost);
     runPass();
     BOOST_TEST(progressOf("job").task == first);
     report("job", TaskState::Stopped);
--- a/src/libkernel/request.cpp
+++ b/src/libkernel/request.cpp
@@ -277,7 +277,7 @@
     dispatchQueued(context, pool);
 }
 
-void handle(Context& context, const CallerGone& event)
+void handle(Context& context, const CallerDisconnected& event)
 {
     auto found = context.state.requests.find(event.id);
     if (found == context.state.requests.end())
@@ -285,7 +285,7 @@
     auto& pending = found->second;
     auto& pool = context.state.pools.at(pending.pool);
     if (pending.stage == Stage::InFlight) {
-        context.actions.push_back(Abandon { event.id });
+        context.actions.push_back(CancelAttempt { event.id });
         releaseSlot(pool, pending.endpoint, context.now);
     } else {
         stopWaiting(context, pool, pending);
@@ -368,7 +368,7 @@
     return actions;
 }
 
-TimePoint nextDeadline(const State& state)
+TimePoint nextTimerAt(const State& state)
 {
     return state.timers.empty() ? TimePoint::max() : state.timers.begin()->first;
 }
--- a/src/libkernel/request_endpoints.cpp
+++ b/src/libkernel/request_endpoints.cpp
@@ -20,7 +20,7 @@
 
 std::vector<Endpoint*>& availableList(Pool& pool, const Endpoint& endpoint)
 {
-    return endpoint.extraLatency == Duration::zero() ? pool.local : pool.availableRemote;
+    return endpoint.extraLatency == Duration::zero() ? pool.availableLocal : pool.availableRemote;
 }
 
 /// Number of slots that may be used now: one while probing, a growing number during slow start.
@@ -62,9 +62,9 @@
 /// Recounts endpoints and slots and rebuilds the lists of endpoints with a free slot.
 void rebuildAvailability(Pool& pool, TimePoint now)
 {
-    pool.local.clear();
+    pool.availableLocal.clear();
     pool.availableRemote.clear();
-    pool.acceptingCount = pool.usable = 0;
+    pool.acceptingCount = pool.usableCount = 0;
     pool.usableSlots = pool.localSlots = 0;
     for (auto& [id, endpoint] : pool.endpoints) {
         endpoint.availableIndex.reset();
@@ -73,7 +73,7 @@
         ++pool.acceptingCount;
         if (endpoint.health.isEjected)
             continue;
-        ++pool.usable;
+        ++pool.usableCount;
         pool.usableSlots += endpoint.slots;
         if (endpoint.extraLatency == Duration::zero())
             pool.localSlots += endpoint.slots;
@@ -92,7 +92,7 @@
 /// Ends all ejections if every accepting endpoint is ejected.
 void ensureUsableEndpoint(Pool& pool, TimePoint now)
 {
-    if (pool.usable > 0 || pool.acceptingCount == 0)
+    if (pool.usableCount > 0 || pool.acceptingCount == 0)
         return;
     for (auto& [id, endpoint] : pool.endpoints) {
         if (endpoint.health.isEjected)
@@ -109,9 +109,9 @@
         return false;
     if (!health.isProbing && health.consecutiveFailures < settings.failuresToEject)
         return false;
-    if (pool.failureRate > maxPoolFailureRateForEjection || pool.usable < 2)
+    if (pool.failureRate > maxPoolFailureRateForEjection || pool.usableCount < 2)
         return false;
-    const auto ejectedCount = pool.acceptingCount - pool.usable + 1;
+    const auto ejectedCount = pool.acceptingCount - pool.usableCount + 1;
     return double(ejectedCount) <= settings.maxEjectedShare * double(pool.acceptingCount);
 }
 
@@ -229,7 +229,7 @@
 
 void mergeEndpoints(Pool& pool, const std::vector<Endpoint>& endpoints, TimePoint now)
 {
-    const bool hadUsableEndpoint = pool.usable > 0;
+    const bool hadUsableEndpoint = pool.usableCount > 0;
     for (auto& [id, endpoint] : pool.endpoints)
         endpoint.isRemoved = true;
     for (const auto& update : endpoints) {
@@ -284,8 +284,8 @@
     Pool& pool, const EndpointId& avoided, std::size_t queued, std::mt19937_64& random, TimePoint now)
 {
     endExpiredEjections(pool, now);
-    if (!pool.local.empty())
-        return &chooseFrom(pool, pool.local, avoided, random, now);
+    if (!pool.availableLocal.empty())
+        return &chooseFrom(pool, pool.availableLocal, avoided, random, now);
     if (pool.availableRemote.empty())
         return nullptr;
     auto& remoteEndpoint = chooseFrom(pool, pool.availableRemote, avoided, random, now);
--- a/src/libkernel/request_model_test.cpp
+++ b/src/libkernel/request_model_test.cpp
@@ -38,7 +38,7 @@
         request.mayHaveRun = true;
 }
 
-void Checker::recordEvent(const CallerGone& event, TimePoint)
+void Checker::recordEvent(const CallerDisconnected& event, TimePoint)
 {
     auto found = m_requests.find(event.id);
     if (found == m_requests.end() || found->second.answered)
@@ -98,7 +98,7 @@
     request.isWaiting = false;
 }
 
-void Checker::check(const Abandon& action, TimePoint)
+void Checker::check(const CancelAttempt& action, TimePoint)
 {
     auto& request = m_requests[action.id];
     expect(request.inFlight && request.isCallerDisconnected,
--- a/src/libkernel/request_model_test.h
+++ b/src/libkernel/request_model_test.h
@@ -44,14 +44,14 @@
 private:
     void recordEvent(const Arrived& event, TimePoint now);
     void recordEvent(const AttemptEnded& event, TimePoint now);
-    void recordEvent(const CallerGone& event, TimePoint now);
+    void recordEvent(const CallerDisconnected& event, TimePoint now);
     void recordEvent(const PoolChanged& event, TimePoint now);
     void recordEvent(const EntryVmsChanged&, TimePoint) { }
     void recordEvent(const Tick&, TimePoint) { }
     void recordEvent(const StopRequested&, TimePoint) { m_stopping = true; }
     void check(const Dispatch& action, TimePoint now);
     void check(const Reply& action, TimePoint now);
-    void check(const Abandon& action, TimePoint now);
+    void check(const CancelAttempt& action, TimePoint now);
     void endAttempt(ObservedRequest& request);
     void checkInvariants(TimePoint now);
     void expect(bool holds, const std::string& invariant);
--- a/src/libkernel/request_property_test.cpp
+++ b/src/libkernel/request_property_test.cpp
@@ -52,7 +52,7 @@
         else if (step.kind < 80)
             duplicateEnd(step);
         else if (step.kind < 85)
-            send(CallerGone { 1 + step.a % (m_nextId + 1) });
+            send(CallerDisconnected { 1 + step.a % (m_nextId + 1) });
         else if (step.kind < 90)
             changePool(step.a % poolCount, step.b, step.a % 3);
         else if (step.kind < 93)
@@ -79,11 +79,11 @@
     State state;
 
 private:
-    bool hasTimer() const { return nextDeadline(state) != TimePoint::max(); }
+    bool hasTimer() const { return nextTimerAt(state) != TimePoint::max(); }
 
     void advanceToNextTimer()
     {
-        m_now = std::max(m_now, nextDeadline(state));
+        m_now = std::max(m_now, nextTimerAt(state));
         send(Tick {});
     }
 
@@ -98,7 +98,7 @@
         for (const auto& action : checker.apply(state, event, m_now)) {
             if (const auto* dispatch = std::get_if<Dispatch>(&action))
                 m_inFlight.push_back({ dispatch->id, dispatch->attempt });
-            if (const auto* cancelled = std::get_if<Abandon>(&action))
+            if (const auto* cancelled = std::get_if<CancelAttempt>(&action))
                 std::erase_if(
                     m_inFlight, [&](const auto& attempt) { return attempt.first == cancelled->id; });
         }
@@ -107,7 +107,7 @@
     /// Fires the timers that are due. The daemon's timer does so before any later event.
     void fireDueTimers()
     {
-        if (nextDeadline(state) <= m_now)
+        if (nextTimerAt(state) <= m_now)
             handleEvent(Tick {});
     }
 
--- a/src/libkernel/request_test.cpp
+++ b/src/libkernel/request_test.cpp
@@ -133,8 +133,8 @@
     arrive(1, 10s);
     arrive(2, 1s);
     const auto deadline = now + 1s;
-    BOOST_TEST((nextDeadline(state) == deadline - 100ms));
-    now = nextDeadline(state);
+    BOOST_TEST((nextTimerAt(state) == deadline - 100ms));
+    now = nextTimerAt(state);
     BOOST_TEST((firstReply(decide(state, Tick {}, now)).reason == Reason::DeadlineNear));
 }
 
@@ -193,8 +193,8 @@
     for (RequestId id = 1; id <= 9; ++id) {
         arrive(id);
         end(Dispatch(dispatches.back()), Result::NotStarted);
-        longest = std::max(longest, nextDeadline(state) - now);
-        BOOST_TEST((nextDeadline(state) - now <= settings.retry.baseBackoff));
+        longest = std::max(longest, nextTimerAt(state) - now);
+        BOOST_TEST((nextTimerAt(state) - now <= settings.retry.baseBackoff));
     }
     BOOST_TEST((longest > Duration::zero()));
 }
@@ -222,7 +222,7 @@
         now += 1ms;
         const auto dispatch = dispatches.back();
         end(dispatch, Result::Answered, dispatch.endpoint < "vm-7");
-        BOOST_REQUIRE(pool().usable >= 5u);
+        BOOST_REQUIRE(pool().usableCount >= 5u);
     }
     BOOST_TEST(pool().counters.ejections >= 5u);
 }
@@ -235,7 +235,7 @@
         end(Dispatch(dispatches.back()), Result::Answered, true);
     }
     // After 14 failures the failure rate of the pool exceeds 0.5, which stops further ejections.
-    BOOST_TEST(pool().usable >= 8u);
+    BOOST_TEST(pool().usableCount >= 8u);
 }
 
 BOOST_FIXTURE_TEST_CASE(lastEndpointIsUsedEvenIfEjected, Fixture)
--- a/src/libpeer/peer_service.cpp
+++ b/src/libpeer/peer_service.cpp
@@ -216,7 +216,7 @@
         const auto verdict = membership::observe(state, heartbeat, clock.now());
         if (state.superseded && !wasSuperseded)
             logEvent(LogLevel::Error, "name_taken_over", { { "node", heartbeat.node } });
-        if (verdict != membership::Verdict::Newer)
+        if (verdict != membership::HeartbeatResult::Newer)
             return;
         if (!isKnown)
             logEvent(LogLevel::Info, "peer_joined",
@@ -368,7 +368,7 @@
     {
         dropBroken();
         dropSilent();
-        membership::expire(state, clock.now());
+        membership::removeExpired(state, clock.now());
         if (const auto partner = choosePartner())
             exchangeWith(*partner, true);
     }
--- a/src/libscheduler/fleet_moves.cpp
+++ b/src/libscheduler/fleet_moves.cpp
@@ -38,8 +38,8 @@
 {
     if (machine.state != MachineState::Up || state.tasks.contains(machine.id))
         return false;
-    const auto lastTaskEnd = state.movedAt.find(machine.id);
-    return lastTaskEnd == state.movedAt.end() || now - lastTaskEnd->second >= limits.minStayTime;
+    const auto lastTaskEnd = state.lastTaskEndedAt.find(machine.id);
+    return lastTaskEnd == state.lastTaskEndedAt.end() || now - lastTaskEnd->second >= limits.minStayTime;
 }
 
 /// Whether the pool has lost all its machines, as opposed to a new holder to which they have not reported
--- a/src/libscheduler/fleet_plan.cpp
+++ b/src/libscheduler/fleet_plan.cpp
@@ -88,7 +88,7 @@
     const auto concurrency
         = std::max(1, static_cast<int>(std::floor(poolSize(state, pool) * limits.maxUnavailableShare)));
     const auto rounds = (remaining + concurrency - 1) / concurrency;
-    const auto deadline = wave.seenAt + wave.request.duration - limits.waveSafetyMargin;
+    const auto deadline = wave.startedAt + wave.request.duration - limits.waveSafetyMargin;
     return now + limits.timePerMachine * rounds >= deadline;
 }
 
@@ -99,7 +99,7 @@
 {
     const auto remaining = std::count_if(wave.request.machines.begin(), wave.request.machines.end(),
         [&](const std::string& id) { return !wave.done.contains(id) && state.machines.contains(id); });
-    const auto time = wave.seenAt + wave.request.duration - limits.waveSafetyMargin - now;
+    const auto time = wave.startedAt + wave.request.duration - limits.waveSafetyMargin - now;
     if (time <= limits.timePerMachine)
         return static_cast<int>(remaining);
     const auto work = std::chrono::duration<double>(limits.timePerMachine) * static_cast<double>(remaining);
@@ -204,7 +204,7 @@
     return empty != load->second.empty.end() && empty->second == task.id;
 }
 
-bool isBack(const FleetState& state, const MachineTask& task)
+bool hasMachineReturned(const FleetState& state, const MachineTask& task)
 {
     if (task.state != MachineTaskState::Ordered)
         return false;
--- a/src/libscheduler/fleet_plan_test.cpp
+++ b/src/libscheduler/fleet_plan_test.cpp
@@ -121,11 +121,11 @@
 BOOST_AUTO_TEST_CASE(machineHasReturnedOnlyWithANewVm)
 {
     MachineTask task { "a0", MachineAction::Maintain, 1, "", "vm-a0", MachineTaskState::Ordered };
-    BOOST_TEST(!isBack(state, task));
+    BOOST_TEST(!hasMachineReturned(state, task));
     state.machines["a0"].vm = "vm-new";
-    BOOST_TEST(isBack(state, task));
+    BOOST_TEST(hasMachineReturned(state, task));
     state.machines["a0"].state = MachineState::Maintenance;
-    BOOST_TEST(!isBack(state, task));
+    BOOST_TEST(!hasMachineReturned(state, task));
 }
 
 BOOST_AUTO_TEST_CASE(taskOfACrashedMachineIsAbandoned)
@@ -263,7 +263,7 @@
 {
     setBacklog("a", 20);
     for (const char* id : { "b0", "b1", "b2", "b3", "s0", "s1" })
-        state.movedAt[id] = clock.now();
+        state.lastTaskEndedAt[id] = clock.now();
     BOOST_TEST(planMoves(state, limits, clock.now()).empty());
     clock.advance(limits.minStayTime);
     BOOST_TEST(!planMoves(state, limits, clock.now()).empty());
--- a/src/libscheduler/job_timing.cpp
+++ b/src/libscheduler/job_timing.cpp
@@ -17,7 +17,7 @@
     return job.spec.firstDue + job.spec.period * occurrence;
 }
 
-milliseconds objectiveSpan(const JobEntry& job, const Queue* queue)
+milliseconds objectiveDuration(const JobEntry& job, const Queue* queue)
 {
     if (!queue)
         return job.criticalPath;
--- a/src/libscheduler/job_timing_test.cpp
+++ b/src/libscheduler/job_timing_test.cpp
@@ -17,9 +17,9 @@
     second.after = { 0 };
     submit("j1", { makeStep(2), second });
     const auto& entry = state.jobs.at("j1");
-    const auto objective = objectiveSpan(entry, &state.queues.at("quotes"));
+    const auto objective = objectiveDuration(entry, &state.queues.at("quotes"));
     BOOST_TEST(objective.count() == 1600 * 2 + 600);
-    BOOST_TEST(objectiveSpan(entry, nullptr).count() == 2000);
+    BOOST_TEST(objectiveDuration(entry, nullptr).count() == 2000);
     BOOST_TEST((timelinessOf(objective, objective) == Timeliness::InTime));
     BOOST_TEST((timelinessOf(objective + 1ms, objective) == Timeliness::Late));
     BOOST_TEST((timelinessOf(objective * 3 + 1ms, objective) == Timeliness::Overdue));
--- a/src/libscheduler/placement_choice.cpp
+++ b/src/libscheduler/placement_choice.cpp
@@ -10,8 +10,8 @@
 
 bool acceptsWork(const VmState& vm, TimePoint now)
 {
-    return vm.listed && vm.read && !vm.silent && !vm.entry.draining && !vm.evacuating && vm.strangers.empty()
-        && now >= vm.quarantinedUntil;
+    return vm.listed && vm.hasReported && !vm.isUnresponsive && !vm.entry.draining && !vm.evacuating
+        && vm.orphanRuns.empty() && now >= vm.quarantinedUntil;
 }
 
 bool hasLabel(const VmState& vm, const std::string& label)
--- a/src/libscheduler/pool_evacuation.cpp
+++ b/src/libscheduler/pool_evacuation.cpp
@@ -14,7 +14,7 @@
     if (!task.run || task.run->phase != RunPhase::Running || task.run->percent < 100)
         return false;
     const auto vm = state.vms.find(task.run->vm);
-    return vm != state.vms.end() && !vm->second.silent;
+    return vm != state.vms.end() && !vm->second.isUnresponsive;
 }
 
 int countUnavailable(const PoolState& state, const StepState& step)
@@ -39,7 +39,7 @@
 {
     std::vector<Resources> out;
     for (const auto& [name, vm] : state.vms) {
-        if (!vm.listed || !vm.read || vm.silent || vm.evacuating || vm.entry.draining)
+        if (!vm.listed || !vm.hasReported || vm.isUnresponsive || vm.evacuating || vm.entry.draining)
             continue;
         auto room = vm.entry.capacity;
         for (const auto& run : vm.runs) {
@@ -137,14 +137,14 @@
     }
 }
 
-PoolLoad loadOf(const PoolState& state, TimePoint now)
+PoolLoad computeLoad(const PoolState& state, TimePoint now)
 {
     PoolLoad load;
     load.arrivingCpu = arrivingCpu(state, now);
     const auto rooms = roomBesideLongRunning(state);
     for (const auto& [name, vm] : state.vms) {
         load.usedCpu += vm.used.cpu;
-        if (vm.listed && vm.read && !vm.silent && !vm.evacuating && !vm.entry.draining) {
+        if (vm.listed && vm.hasReported && !vm.isUnresponsive && !vm.evacuating && !vm.entry.draining) {
             load.capacityCpu += vm.entry.capacity.cpu;
             ++load.workingMachines;
         }
@@ -156,11 +156,11 @@
             load.serving.insert(vm.entry.machine);
         }
         // The runs of a VM that has not reported are unknown, so its machine does not count as idle.
-        if (!vm.runs.empty() || !vm.read)
+        if (!vm.runs.empty() || !vm.hasReported)
             load.runs[vm.entry.machine] = std::max(1, static_cast<int>(vm.runs.size()));
-        if (!vm.read)
+        if (!vm.hasReported)
             load.serving.insert(vm.entry.machine);
-        if (vm.evacuating && vm.read && vm.runs.empty() && vm.strangers.empty())
+        if (vm.evacuating && vm.hasReported && vm.runs.empty() && vm.orphanRuns.empty())
             load.empty.emplace(vm.entry.machine, vm.evacuationTask);
     }
     for (const auto& [id, job] : state.jobs) {
--- a/src/libscheduler/pool_fixture_test.h
+++ b/src/libscheduler/pool_fixture_test.h
@@ -31,7 +31,7 @@
     void addVm(
         const std::string& id, std::int64_t cpu = 4000, const std::string& rack = "r1", bool reports = true)
     {
-        VmEntry vm;
+        VmRegistration vm;
         vm.id = id;
         vm.machine = "m-" + id;
         vm.pool = "pricing";
@@ -86,18 +86,18 @@
     {
         auto out = starts();
         for (const auto& start : out)
-            applyStartOutcome(
-                state, start.vm, start.order.task, start.order.run, OrderOutcome::Accepted, clock.now());
+            applyStartOutcome(state, start.vm, start.command.task, start.command.run,
+                CommandOutcome::Accepted, clock.now());
         return out;
     }
 
     /// Applies a report of the runs that the state has on the VM, without those in \p ended, which it lists
     /// as ends.
-    void report(const std::string& vm, std::vector<EndReport> ended = {}, std::int64_t born = 1)
+    void report(const std::string& vm, std::vector<EndReport> ended = {}, std::int64_t bootTime = 1)
     {
         VmReport out;
         out.vmClock = std::chrono::duration_cast<milliseconds>(clock.now().time_since_epoch());
-        out.born = born;
+        out.bootTime = bootTime;
         for (const auto& id : state.vms.at(vm).runs) {
             const auto& task = *findTask(state, id);
             const bool over = std::any_of(
@@ -110,17 +110,17 @@
     }
 
     /// Applies a report without any runs or ends.
-    void reportEmpty(const std::string& vm, std::int64_t born = 1)
+    void reportEmpty(const std::string& vm, std::int64_t bootTime = 1)
     {
         VmReport out;
         out.vmClock = std::chrono::duration_cast<milliseconds>(clock.now().time_since_epoch());
-        out.born = born;
+        out.bootTime = bootTime;
         applyReport(state, vm, out, clock.now(), clock.now());
     }
 
     static EndReport makeEnd(std::uint64_t number, const StartAction& start, EndKind kind = EndKind::Done)
     {
-        return { number, start.order.task, start.order.run, kind, "" };
+        return { number, start.command.task, start.command.run, kind, "" };
     }
 
     const TaskState& task(const std::string& job, int step, int index)
--- a/src/libscheduler/pool_pace.cpp
+++ b/src/libscheduler/pool_pace.cpp
@@ -32,7 +32,7 @@
 
 } // namespace
 
-std::vector<ThrottleAction> planPaces(PoolState& state, std::string_view vmId, TimePoint)
+std::vector<ThrottleAction> planThrottling(PoolState& state, std::string_view vmId, TimePoint)
 {
     std::vector<ThrottleAction> out;
     auto found = state.vms.find(vmId);
--- a/src/libscheduler/pool_plan.cpp
+++ b/src/libscheduler/pool_plan.cpp
@@ -60,7 +60,7 @@
 void setSortKey(WaitingStep& waiting, const Queue* queue, WallTime wallNow)
 {
     const auto& job = *waiting.job;
-    const auto duration = objectiveSpan(job, queue);
+    const auto duration = objectiveDuration(job, queue);
     const auto due = dueAt(job, waiting.occurrence);
     waiting.priority = queue ? queue->priority : 0;
     waiting.objective = due + duration;
@@ -114,15 +114,15 @@
     RunState run { vm.entry.id, number };
     run.createdAt = now;
     placeRun(state, vm, id, task, run);
-    if (job.firstStart == TimePoint {})
-        job.firstStart = now;
+    if (job.firstStartAt == TimePoint {})
+        job.firstStartAt = now;
     if (!job.begun)
         job.dirty = true; // its record must be durable before the command is sent
     const auto& tickets
         = job.occurrences.at(id.occurrence).steps[static_cast<std::size_t>(id.step)].advice.tickets;
     const auto ticket = tickets.find(vm.entry.id);
     StartAction action { vm.entry.id, {} };
-    action.order = { id, number, job.spec.spec, checkpoint,
+    action.command = { id, number, job.spec.spec, checkpoint,
         ticket == tickets.end() ? "" : ticket->second.text, extendLease(vm, state.limits, now) };
     return action;
 }
@@ -183,20 +183,20 @@
     }
     recordMissingTicket(state, waiting);
     for (const auto& start : starts)
-        releaseRun(state, start.order.task, step.tasks[static_cast<std::size_t>(start.order.task.index)]);
+        releaseRun(state, start.command.task, step.tasks[static_cast<std::size_t>(start.command.task.index)]);
 }
 
 /// Whether every run that an earlier holder started is known or has ended, so that the tasks of recovered
 /// jobs may be started.
 bool isRecoveryComplete(const PoolState& state, TimePoint now)
 {
-    if (now >= state.uncertainUntil)
+    if (now >= state.recoveryDeadline)
         return true;
     // VMs that only the registry lists don't matter: they have ended.
-    return state.knownVms
-        && std::all_of(state.knownVms->begin(), state.knownVms->end(), [&](const std::string& id) {
+    return state.platformVms
+        && std::all_of(state.platformVms->begin(), state.platformVms->end(), [&](const std::string& id) {
                const auto vm = state.vms.find(id);
-               return vm != state.vms.end() && vm->second.read;
+               return vm != state.vms.end() && vm->second.hasReported;
            });
 }
 
--- a/src/libscheduler/pool_reports.cpp
+++ b/src/libscheduler/pool_reports.cpp
@@ -94,7 +94,7 @@
 
 void applyEnd(PoolState& state, VmState& vm, const EndReport& end, TimePoint now)
 {
-    vm.strangers.erase({ end.task, end.run });
+    vm.orphanRuns.erase({ end.task, end.run });
     auto* task = findTask(state, end.task);
     if (!task)
         return;
@@ -128,9 +128,9 @@
         failTask(state, job, *task, step, end.run);
         break;
     case EndKind::Stopped:
-    case EndKind::Lapsed:
-    case EndKind::Broken:
-    case EndKind::Alone:
+    case EndKind::LeaseExpired:
+    case EndKind::GangMemberEnded:
+    case EndKind::GangIncomplete:
         break;
     }
 }
@@ -159,7 +159,7 @@
     const bool adoptable = task && !task->done && !task->run && job->second.recovered
         && !isFinal(job->second.state) && report.run >= task->lastRun;
     if (!adoptable) {
-        vm.strangers.try_emplace({ report.task, report.run });
+        vm.orphanRuns.try_emplace({ report.task, report.run });
         return;
     }
     RunState run { vm.entry.id, report.run };
@@ -207,14 +207,14 @@
     if (found == state.vms.end())
         return;
     auto& vm = found->second;
-    if (vm.read && vm.born != report.born) {
+    if (vm.hasReported && vm.bootTime != report.bootTime) {
         releaseAllRuns(state, vm);
         vm.applied = vm.acknowledged = 0;
         vm.leaseUntil = milliseconds(0);
     }
-    vm.born = report.born;
-    vm.silent = false;
-    vm.read = true;
+    vm.bootTime = report.bootTime;
+    vm.isUnresponsive = false;
+    vm.hasReported = true;
     vm.reportedClock = report.vmClock;
     vm.clockReportedAt = now;
     for (const auto& end : report.ended) {
@@ -223,13 +223,13 @@
         vm.applied = end.number;
         applyEnd(state, vm, end, now);
     }
-    const auto earlierOrphans = std::exchange(vm.strangers, {});
+    const auto earlierOrphans = std::exchange(vm.orphanRuns, {});
     std::set<TaskId> listed;
     for (const auto& run : report.running) {
         listed.insert(run.task);
         applyRunning(state, vm, run, now);
     }
-    for (auto& [run, nextStopAt] : vm.strangers) {
+    for (auto& [run, nextStopAt] : vm.orphanRuns) {
         if (const auto earlier = earlierOrphans.find(run); earlier != earlierOrphans.end())
             nextStopAt = earlier->second;
     }
@@ -250,7 +250,7 @@
 } // namespace
 
 void applyStartOutcome(PoolState& state, std::string_view name, const TaskId& id, std::uint32_t number,
-    OrderOutcome outcome, TimePoint now)
+    CommandOutcome outcome, TimePoint now)
 {
     auto found = state.vms.find(name);
     auto* task = findTask(state, id);
@@ -259,46 +259,46 @@
         return;
     auto& run = *task->run;
     switch (outcome) {
-    case OrderOutcome::Accepted:
+    case CommandOutcome::Accepted:
         if (run.phase == RunPhase::Starting) {
             run.phase = RunPhase::Running;
             run.confirmedAt = run.progressAt = now;
         }
         markJobRunning(state.jobs.find(id.job)->second);
         return;
-    case OrderOutcome::Unknown:
-        found->second.silent = true;
+    case CommandOutcome::Unknown:
+        found->second.isUnresponsive = true;
         if (run.phase == RunPhase::Starting)
             run.phase = RunPhase::Unknown;
         run.nextStopAt = now;
         return;
-    case OrderOutcome::Refused:
+    case CommandOutcome::Refused:
         recordFailure(found->second, id.job, state.limits, now);
         break;
-    case OrderOutcome::Unreachable:
-        found->second.silent = true;
+    case CommandOutcome::Unreachable:
+        found->second.isUnresponsive = true;
         break;
-    case OrderOutcome::BadTicket:
+    case CommandOutcome::InvalidTicket:
         forgetTicket(state, id, name);
         break;
-    case OrderOutcome::NoRoom:
-    case OrderOutcome::Superseded:
-    case OrderOutcome::OldRun:
-    case OrderOutcome::Late:
-    case OrderOutcome::WrongVm:
-    case OrderOutcome::Invalid:
+    case CommandOutcome::InsufficientCapacity:
+    case CommandOutcome::Superseded:
+    case CommandOutcome::StaleRun:
+    case CommandOutcome::LeaseExpired:
+    case CommandOutcome::WrongVm:
+    case CommandOutcome::Invalid:
         break;
     }
     releaseRun(state, id, *task);
 }
 
 void applyStopOutcome(PoolState& state, std::string_view name, const TaskId& id, std::uint32_t number,
-    OrderOutcome outcome, TimePoint now)
+    CommandOutcome outcome, TimePoint now)
 {
     auto* task = findTask(state, id);
     if (!task || !task->run || task->run->vm != name || task->run->number != number)
         return;
-    if (outcome == OrderOutcome::Accepted)
+    if (outcome == CommandOutcome::Accepted)
         task->run->stopConfirmedAt = now;
 }
 
@@ -320,7 +320,7 @@
 {
     std::vector<StopAction> stops;
     for (auto& [name, vm] : state.vms) {
-        for (auto& [run, nextStopAt] : vm.strangers) {
+        for (auto& [run, nextStopAt] : vm.orphanRuns) {
             if (now < nextStopAt)
                 continue;
             nextStopAt = now + state.limits.stopRetryDelay;
--- a/src/libscheduler/pool_state.cpp
+++ b/src/libscheduler/pool_state.cpp
@@ -56,7 +56,7 @@
     completeIfDone(state, entry);
 }
 
-void noteArrival(PoolState& state, const JobSpec& job, TimePoint now)
+void recordArrival(PoolState& state, const JobSpec& job, TimePoint now)
 {
     double work = 0;
     for (const auto& step : job.steps) {
@@ -156,10 +156,10 @@
         if (auto* task = findTask(state, id))
             releaseRun(state, id, *task);
     }
-    vm.strangers.clear();
+    vm.orphanRuns.clear();
 }
 
-void listVm(PoolState& state, const VmEntry& entry)
+void listVm(PoolState& state, const VmRegistration& entry)
 {
     auto [it, added] = state.vms.try_emplace(entry.id);
     auto& vm = it->second;
@@ -174,11 +174,11 @@
         found->second.listed = false;
 }
 
-void applySilence(PoolState& state, std::string_view vm)
+void markUnresponsive(PoolState& state, std::string_view vm)
 {
     auto found = state.vms.find(vm);
     if (found != state.vms.end())
-        found->second.silent = true;
+        found->second.isUnresponsive = true;
 }
 
 milliseconds extendLease(VmState& vm, const PoolLimits& limits, TimePoint now)
@@ -188,25 +188,25 @@
     return vm.leaseUntil;
 }
 
-HoldOrder planHold(VmState& vm, const PoolLimits& limits, TimePoint now)
+HeartbeatCommand planHeartbeat(VmState& vm, const PoolLimits& limits, TimePoint now)
 {
-    HoldOrder order;
-    order.acknowledged = vm.acknowledged;
+    HeartbeatCommand command;
+    command.acknowledged = vm.acknowledged;
     // The lease of an unresponsive VM is not renewed, so that its tasks can be released once it expires.
-    if (!vm.read || vm.silent || vm.runs.empty())
-        return order;
-    order.leaseUntil = extendLease(vm, limits, now);
-    if (vm.strangers.empty())
-        order.wait = limits.maxHeartbeatWait;
-    return order;
+    if (!vm.hasReported || vm.isUnresponsive || vm.runs.empty())
+        return command;
+    command.leaseUntil = extendLease(vm, limits, now);
+    if (vm.orphanRuns.empty())
+        command.wait = limits.maxHeartbeatWait;
+    return command;
 }
 
 bool isLeaseExpired(const VmState& vm, const PoolLimits& limits, TimePoint now)
 {
-    if (!vm.read)
+    if (!vm.hasReported)
         return false;
     const auto elapsed = std::chrono::duration<double, std::milli>(now - vm.clockReportedAt);
-    return static_cast<double>(vm.reportedClock.count()) + elapsed.count() * limits.slowestVmClock
+    return static_cast<double>(vm.reportedClock.count()) + elapsed.count() * limits.minVmClockRate
         > static_cast<double>(vm.leaseUntil.count());
 }
 
@@ -214,8 +214,9 @@
 {
     for (auto it = state.vms.begin(); it != state.vms.end();) {
         auto& vm = it->second;
-        const bool over = vm.read ? isLeaseExpired(vm, state.limits, now) : now >= state.uncertainUntil;
-        if (vm.silent && vm.read && over)
+        const bool over
+            = vm.hasReported ? isLeaseExpired(vm, state.limits, now) : now >= state.recoveryDeadline;
+        if (vm.isUnresponsive && vm.hasReported && over)
             releaseAllRuns(state, vm);
         if (!vm.listed && over && vm.runs.empty()) {
             it = state.vms.erase(it);
--- a/src/libscheduler/pool_state_test.cpp
+++ b/src/libscheduler/pool_state_test.cpp
@@ -23,7 +23,7 @@
     report("v1", { makeEnd(2, first[1]) });
     const auto next = startAndAccept();
     BOOST_REQUIRE(next.size() == 1u);
-    BOOST_TEST(next[0].order.task.step == 1);
+    BOOST_TEST(next[0].command.task.step == 1);
     report("v1", { makeEnd(3, next[0]) });
     BOOST_TEST((state.jobs.at("j1").state == JobState::Completed));
 }
@@ -34,13 +34,13 @@
     submit("j1", { makeStep(3) });
     const auto first = startAndAccept();
     BOOST_REQUIRE(first.size() == 2u);
-    markStopping(*findTask(state, first[0].order.task)->run, clock.now());
+    markStopping(*findTask(state, first[0].command.task)->run, clock.now());
     BOOST_TEST(planStops(state, clock.now()).size() == 1u);
     BOOST_TEST(startAndAccept().empty());
     report("v1", { makeEnd(1, first[0], EndKind::Stopped) });
     const auto next = startAndAccept();
     BOOST_REQUIRE(next.size() == 1u);
-    BOOST_TEST(next[0].order.run == 2u);
+    BOOST_TEST(next[0].command.run == 2u);
 }
 
 BOOST_AUTO_TEST_CASE(unconfirmedStartIsReleasedOnlyAfterAConfirmedStop)
@@ -50,19 +50,19 @@
     const auto first = starts();
     BOOST_REQUIRE(first.size() == 1u);
     applyStartOutcome(
-        state, "v1", first[0].order.task, first[0].order.run, OrderOutcome::Unknown, clock.now());
+        state, "v1", first[0].command.task, first[0].command.run, CommandOutcome::Unknown, clock.now());
     advance(10ms);
     // The VM may still carry out the command, so a report without the run proves nothing.
     reportEmpty("v1");
     BOOST_TEST(starts().empty());
     const auto stops = planStops(state, clock.now());
     BOOST_REQUIRE(stops.size() == 1u);
-    applyStopOutcome(state, "v1", stops[0].task, stops[0].run, OrderOutcome::Accepted, clock.now());
+    applyStopOutcome(state, "v1", stops[0].task, stops[0].run, CommandOutcome::Accepted, clock.now());
     advance(10ms);
     reportEmpty("v1");
     const auto next = starts();
     BOOST_REQUIRE(next.size() == 1u);
-    BOOST_TEST(next[0].order.run == 2u);
+    BOOST_TEST(next[0].command.run == 2u);
 }
 
 BOOST_AUTO_TEST_CASE(unresponsiveVmKeepsTasksUntilLeaseExpiresOnSlowestClock)
@@ -72,7 +72,7 @@
     submit("j1", { makeStep(1) });
     const auto first = startAndAccept();
     const auto vm = first[0].vm;
-    applySilence(state, vm);
+    markUnresponsive(state, vm);
     advance(state.limits.vmLease);
     expireLeases(state, clock.now());
     BOOST_TEST(starts().empty());
@@ -88,11 +88,11 @@
     addVm("v1");
     submit("j1", { makeStep(1) });
     startAndAccept();
-    BOOST_TEST(planHold(state.vms.at("v1"), state.limits, clock.now()).leaseUntil.count() > 0);
-    applySilence(state, "v1");
+    BOOST_TEST(planHeartbeat(state.vms.at("v1"), state.limits, clock.now()).leaseUntil.count() > 0);
+    markUnresponsive(state, "v1");
     for (int i = 0; i < 30; ++i) {
         advance(200ms);
-        BOOST_TEST(planHold(state.vms.at("v1"), state.limits, clock.now()).leaseUntil.count() == 0);
+        BOOST_TEST(planHeartbeat(state.vms.at("v1"), state.limits, clock.now()).leaseUntil.count() == 0);
     }
     expireLeases(state, clock.now());
     BOOST_TEST(!task("j1", 0, 0).run);
@@ -104,7 +104,7 @@
     addVm("v2");
     submit("j1", { makeStep(1) });
     const auto first = startAndAccept();
-    applySilence(state, first[0].vm);
+    markUnresponsive(state, first[0].vm);
     advance(state.limits.vmLease * 2);
     expireLeases(state, clock.now());
     const auto second = startAndAccept();
@@ -124,7 +124,7 @@
     reportEmpty("v1", 2);
     const auto next = startAndAccept();
     BOOST_REQUIRE(next.size() == 1u);
-    BOOST_TEST(next[0].order.run == 2u);
+    BOOST_TEST(next[0].command.run == 2u);
     BOOST_TEST(state.vms.at("v1").applied == 0u);
 }
 
@@ -144,7 +144,7 @@
     BOOST_TEST((next.state.jobs.at("j1").state != JobState::Failed));
     const auto second = next.startAndAccept();
     BOOST_REQUIRE(second.size() == 1u);
-    BOOST_TEST(second[0].order.run > first[0].order.run);
+    BOOST_TEST(second[0].command.run > first[0].command.run);
     next.report("v1", { makeEnd(2, second[0], EndKind::Failed) });
     BOOST_TEST((next.state.jobs.at("j1").state == JobState::Failed));
 }
@@ -158,7 +158,7 @@
     addVm("v2", 4000, "r1", false);
     const TaskId id { "j1", 0, 0, 0 };
     VmReport running;
-    running.born = 1;
+    running.bootTime = 1;
     running.running.push_back({ id, 2, "", 30, 0 });
     applyReport(state, "v2", running, clock.now(), clock.now());
     report("v1", { { 1, id, 1, EndKind::Failed, "" } });
@@ -172,31 +172,31 @@
 BOOST_AUTO_TEST_CASE(newHolderStartsRecoveredTasksOnlyAfterEveryVmReported)
 {
     state.term = 1;
-    state.knownVms = { "v1", "v2", "v3" };
-    state.uncertainUntil = clock.now() + 5s;
+    state.platformVms = { "v1", "v2", "v3" };
+    state.recoveryDeadline = clock.now() + 5s;
     addVm("v1");
     addVm("v2", 4000, "r1", false);
     submit("j1", { makeStep(1) }, true);
     submit("j2", { makeStep(1) });
     auto out = startAndAccept();
     BOOST_REQUIRE(out.size() == 1u);
-    BOOST_TEST(out[0].order.task.job == "j2");
-    BOOST_TEST(out[0].order.run == 1u);
+    BOOST_TEST(out[0].command.task.job == "j2");
+    BOOST_TEST(out[0].command.run == 1u);
     report("v2");
     // The registry lacks a VM that the platform lists.
     BOOST_TEST(startAndAccept().empty());
     addVm("v3");
     out = startAndAccept();
     BOOST_REQUIRE(out.size() == 1u);
-    BOOST_TEST(out[0].order.task.job == "j1");
-    BOOST_TEST(out[0].order.run > runNumberBase(1));
+    BOOST_TEST(out[0].command.task.job == "j1");
+    BOOST_TEST(out[0].command.run > runNumberBase(1));
 }
 
 BOOST_AUTO_TEST_CASE(vmUnknownToThePlatformDoesNotDelayRecovery)
 {
     state.term = 1;
-    state.knownVms = { "v1" };
-    state.uncertainUntil = clock.now() + 5s;
+    state.platformVms = { "v1" };
+    state.recoveryDeadline = clock.now() + 5s;
     addVm("v1");
     addVm("moved", 4000, "r1", false);
     submit("j1", { makeStep(1) }, true);
@@ -212,17 +212,17 @@
     startAndAccept();
     submit("j2", { makeStep(1, 3000) });
     BOOST_TEST(starts().empty());
-    BOOST_TEST(loadOf(state, clock.now()).unfitCpu == 3000);
+    BOOST_TEST(computeLoad(state, clock.now()).unfitCpu == 3000);
     addVm("v2", 4000);
-    BOOST_TEST(loadOf(state, clock.now()).unfitCpu == 0);
+    BOOST_TEST(computeLoad(state, clock.now()).unfitCpu == 0);
 }
 
 BOOST_AUTO_TEST_CASE(vmWithoutReportDoesNotCountAsIdle)
 {
     addVm("v1", 4000, "r1", false);
-    BOOST_TEST(loadOf(state, clock.now()).runs.contains("m-v1"));
+    BOOST_TEST(computeLoad(state, clock.now()).runs.contains("m-v1"));
     report("v1");
-    BOOST_TEST(!loadOf(state, clock.now()).runs.contains("m-v1"));
+    BOOST_TEST(!computeLoad(state, clock.now()).runs.contains("m-v1"));
 }
 
 BOOST_AUTO_TEST_CASE(newHolderAdoptsRunningTasks)
@@ -231,7 +231,7 @@
     submit("j1", { makeStep(1) }, true);
     addVm("v1", 4000, "r1", false);
     VmReport report;
-    report.born = 1;
+    report.bootTime = 1;
     report.running.push_back({ { "j1", 0, 0, 0 }, 7, "", 30, 0 });
     applyReport(state, "v1", report, clock.now(), clock.now());
     BOOST_TEST(starts().empty());
@@ -243,7 +243,7 @@
 {
     addVm("v1");
     VmReport report;
-    report.born = 1;
+    report.bootTime = 1;
     report.running.push_back({ { "gone", 0, 0, 0 }, 3, "", 30, 0 });
     applyReport(state, "v1", report, clock.now(), clock.now());
     submit("j1", { makeStep(1) });
@@ -279,7 +279,7 @@
     addVm("v2", 2000);
     const auto all = startAndAccept();
     BOOST_REQUIRE(all.size() == 3u);
-    BOOST_TEST(all[0].order.run == all[2].order.run);
+    BOOST_TEST(all[0].command.run == all[2].command.run);
     report(all[1].vm, { makeEnd(1, all[1]) });
     BOOST_TEST((state.jobs.at("j1").state == JobState::Completed));
 }
@@ -335,7 +335,7 @@
     const auto first = startAndAccept();
     BOOST_REQUIRE(first.size() == 3u);
     for (const auto& start : first)
-        findTask(state, start.order.task)->run->percent = 100;
+        findTask(state, start.command.task)->run->percent = 100;
     for (auto& [id, vm] : state.vms)
         vm.evacuating = true;
     planEvacuations(state, clock.now());
@@ -368,12 +368,12 @@
     BOOST_REQUIRE(first.size() == 1u);
     BOOST_TEST((state.jobs.at("j1").state == JobState::Queued));
     applyStartOutcome(
-        state, "v1", first[0].order.task, first[0].order.run, OrderOutcome::Refused, clock.now());
+        state, "v1", first[0].command.task, first[0].command.run, CommandOutcome::Refused, clock.now());
     BOOST_TEST((state.jobs.at("j1").state == JobState::Queued));
     const auto second = starts();
     BOOST_REQUIRE(second.size() == 1u);
     applyStartOutcome(
-        state, "v1", second[0].order.task, second[0].order.run, OrderOutcome::Accepted, clock.now());
+        state, "v1", second[0].command.task, second[0].command.run, CommandOutcome::Accepted, clock.now());
     BOOST_TEST((state.jobs.at("j1").state == JobState::Running));
 }
 
@@ -386,8 +386,8 @@
         advance(20ms);
         const auto due = 10 * ms * ms / 2'000'000;
         for (; jobs < due; ++jobs)
-            noteArrival(state, makeJob("j" + std::to_string(jobs), { makeStep(10) }), clock.now());
-        forecast = loadOf(state, clock.now()).arrivingCpu;
+            recordArrival(state, makeJob("j" + std::to_string(jobs), { makeStep(10) }), clock.now());
+        forecast = computeLoad(state, clock.now()).arrivingCpu;
     }
     // The rate is 40 jobs per second now and 60 when a machine requested now has joined; each job needs ten
     // cores for a second.
@@ -396,8 +396,8 @@
     // A steady rate is not extrapolated.
     for (int ms = 0; ms < 2000; ms += 50) {
         advance(50ms);
-        noteArrival(state, makeJob("k" + std::to_string(ms), { makeStep(10) }), clock.now());
-        forecast = loadOf(state, clock.now()).arrivingCpu;
+        recordArrival(state, makeJob("k" + std::to_string(ms), { makeStep(10) }), clock.now());
+        forecast = computeLoad(state, clock.now()).arrivingCpu;
     }
     BOOST_TEST(forecast <= 210'000);
 }
--- a/src/libscheduler/progress.cpp
+++ b/src/libscheduler/progress.cpp
@@ -103,7 +103,7 @@
 
 std::string encodeState(JobState state) { return json({ { "state", nameOf(jobStateNames, state) } }).dump(); }
 
-JobState stateOf(std::string_view record)
+JobState decodeState(std::string_view record)
 {
     const auto value = json::parse(record, nullptr, false);
     if (!value.is_object())
--- a/src/libscheduler/response_time.cpp
+++ b/src/libscheduler/response_time.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-void noteAnswer(ResponseTimes& times, std::chrono::duration<double, std::milli> time)
+void recordResponseTime(ResponseTimes& times, std::chrono::duration<double, std::milli> time)
 {
     times.consecutiveTimeouts = 0;
     if (!times.hasSample) {
@@ -30,12 +30,12 @@
     times.mean = times.mean * (1 - meanWeight) + time * meanWeight;
 }
 
-void noteSilence(ResponseTimes& times)
+void recordTimeout(ResponseTimes& times)
 {
     times.consecutiveTimeouts = std::min(times.consecutiveTimeouts + 1, maxBackoffDoublings);
 }
 
-milliseconds patience(const ResponseTimes& times, milliseconds limit)
+milliseconds responseTimeout(const ResponseTimes& times, milliseconds limit)
 {
     if (!times.hasSample)
         return limit;
--- a/src/libscheduler/response_time_test.cpp
+++ b/src/libscheduler/response_time_test.cpp
@@ -12,29 +12,29 @@
     // Guards against waiting for the whole limit of 0.9 s each time a response is lost. In a simulated day
     // two in five responses of the table were lost, and each cost its caller that time.
     ResponseTimes times;
-    BOOST_TEST((patience(times, 900ms) == 900ms));
+    BOOST_TEST((responseTimeout(times, 900ms) == 900ms));
     for (int i = 0; i < 20; ++i)
-        noteAnswer(times, 10ms);
-    BOOST_TEST((patience(times, 900ms) == 150ms));
-    noteSilence(times);
-    BOOST_TEST((patience(times, 900ms) == 300ms));
-    noteAnswer(times, 12ms);
-    BOOST_TEST((patience(times, 900ms) == 150ms));
+        recordResponseTime(times, 10ms);
+    BOOST_TEST((responseTimeout(times, 900ms) == 150ms));
+    recordTimeout(times);
+    BOOST_TEST((responseTimeout(times, 900ms) == 300ms));
+    recordResponseTime(times, 12ms);
+    BOOST_TEST((responseTimeout(times, 900ms) == 150ms));
 }
 
 BOOST_AUTO_TEST_CASE(timeoutGrowsWhenTheServiceSlowsDown)
 {
     ResponseTimes times;
-    noteAnswer(times, 10ms);
+    recordResponseTime(times, 10ms);
     int unanswered = 0;
     for (int i = 0; i < 10; ++i) {
-        if (patience(times, 900ms) >= 600ms)
-            noteAnswer(times, 600ms);
+        if (responseTimeout(times, 900ms) >= 600ms)
+            recordResponseTime(times, 600ms);
         else {
-            noteSilence(times);
+            recordTimeout(times);
             ++unanswered;
         }
     }
     BOOST_TEST(unanswered <= 2);
-    BOOST_TEST((patience(times, 900ms) >= 600ms));
+    BOOST_TEST((responseTimeout(times, 900ms) >= 600ms));
 }
--- a/src/libscheduler/start_gate.cpp
+++ b/src/libscheduler/start_gate.cpp
@@ -9,23 +9,23 @@
 /// started.
 bool prepareOrder(PoolState& state, StartAction& start, TimePoint now)
 {
-    const auto* task = findTask(state, start.order.task);
+    const auto* task = findTask(state, start.command.task);
     const auto vm = state.vms.find(start.vm);
     if (!task || !task->run || vm == state.vms.end() || task->run->vm != start.vm
-        || task->run->number != start.order.run || task->run->phase != RunPhase::Starting)
+        || task->run->number != start.command.run || task->run->phase != RunPhase::Starting)
         return false;
-    start.order.spec = state.jobs.find(start.order.task.job)->second.spec.spec;
-    start.order.leaseUntil = extendLease(vm->second, state.limits, now);
+    start.command.spec = state.jobs.find(start.command.task.job)->second.spec.spec;
+    start.command.leaseUntil = extendLease(vm->second, state.limits, now);
     return true;
 }
 
 } // namespace
 
-std::vector<StartAction> passGate(
+std::vector<StartAction> takeReadyStarts(
     PoolState& state, WaitingStarts& waiting, std::vector<StartAction> planned, TimePoint now)
 {
     for (auto& start : planned)
-        waiting[start.order.task.job].push_back(std::move(start));
+        waiting[start.command.task.job].push_back(std::move(start));
     std::vector<StartAction> out;
     for (auto it = waiting.begin(); it != waiting.end();) {
         const auto job = state.jobs.find(it->first);
--- a/src/libscheduler/start_gate_test.cpp
+++ b/src/libscheduler/start_gate_test.cpp
@@ -15,7 +15,10 @@
 struct StartGateFixture : PoolFixture {
     StartGateFixture() { addVm("v1"); }
 
-    std::vector<StartAction> releasedStarts() { return passGate(state, waiting, starts(), clock.now()); }
+    std::vector<StartAction> releasedStarts()
+    {
+        return takeReadyStarts(state, waiting, starts(), clock.now());
+    }
 
     WaitingStarts waiting;
 };
@@ -64,13 +67,13 @@
     // work per second waited 5 s after each change, with all VMs idle, until no VM could run a task of the
     // earlier holder.
     state.term = 1;
-    state.uncertainUntil = clock.now() + 5s;
+    state.recoveryDeadline = clock.now() + 5s;
     addVm("v2", 4000, "r1", false); // does not report
     submit("begun", { makeStep(1) }, true);
     addJob(state, makeJob("waiting", { makeStep(1) }), "", true);
     const auto now = starts();
     BOOST_REQUIRE(now.size() == 1u);
-    BOOST_TEST(now[0].order.task.job == "waiting");
+    BOOST_TEST(now[0].command.task.job == "waiting");
     advance(6s);
     BOOST_TEST(starts().size() == 1u);
 }
@@ -89,7 +92,7 @@
     entry.hasSpec = true;
     const auto out = releasedStarts();
     BOOST_REQUIRE(out.size() == 1u);
-    BOOST_TEST(out[0].order.spec == "data");
+    BOOST_TEST(out[0].command.spec == "data");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/libscheduler/step_advice.cpp
+++ b/src/libscheduler/step_advice.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-std::optional<AdviceRequest> planAdvice(PoolState& state, TimePoint now)
+std::optional<AdviceRequest> planAdviceRequest(PoolState& state, TimePoint now)
 {
     for (const auto& id : state.stepsNeedingTickets) {
         auto* step = findStep(state, id);
@@ -42,13 +42,13 @@
         step->advice.isRequestPending = true;
         const auto& settings = *queue->second.advice;
         const auto count = static_cast<int>(vms.size());
-        return AdviceRequest { id, std::move(vms), settings.decision + settings.perVm * count };
+        return AdviceRequest { id, std::move(vms), settings.baseLatency + settings.latencyPerVm * count };
     }
     return std::nullopt;
 }
 
 void applyAdvice(PoolState& state, const AdviceRequest& request,
-    const tl::expected<Advice, OrderOutcome>& answer, TimePoint now)
+    const tl::expected<Advice, CommandOutcome>& answer, TimePoint now)
 {
     auto* step = findStep(state, request.step);
     if (!step)
--- a/src/libscheduler/step_advice_test.cpp
+++ b/src/libscheduler/step_advice_test.cpp
@@ -15,7 +15,7 @@
 struct AdviceFixture : PoolFixture {
     AdviceFixture()
     {
-        state.queues.at("quotes").advice = AdviceTerms { 20ms, 2ms, 3000ms };
+        state.queues.at("quotes").advice = AdviceSettings { 20ms, 2ms, 3000ms };
         for (const auto* vm : { "v1", "v2", "v3" })
             addVm(vm);
     }
@@ -23,7 +23,7 @@
     /// Answers the next request with tickets for the VMs in \p allowed; returns the VMs of the request.
     std::vector<std::string> answer(const std::vector<std::string>& allowed)
     {
-        const auto question = planAdvice(state, clock.now());
+        const auto question = planAdviceRequest(state, clock.now());
         BOOST_REQUIRE(question);
         Advice advice { {}, 3000ms };
         for (const auto& vm : allowed)
@@ -32,7 +32,7 @@
         return question->vms;
     }
 
-    bool wantsAdvice() { return planAdvice(state, clock.now()).has_value(); }
+    bool wantsAdvice() { return planAdviceRequest(state, clock.now()).has_value(); }
 };
 
 } // namespace
@@ -43,7 +43,7 @@
 {
     submit("j1", { makeStep(2) });
     BOOST_TEST(starts().empty());
-    const auto question = planAdvice(state, clock.now());
+    const auto question = planAdviceRequest(state, clock.now());
     BOOST_REQUIRE(question);
     BOOST_TEST(toString(question->step) == "j1.0.0");
     BOOST_TEST(question->vms.size() == 3u);
@@ -61,7 +61,7 @@
     BOOST_REQUIRE(started.size() == 4u); // as many as fit there
     for (const auto& start : started) {
         BOOST_TEST(start.vm == "v2");
-        BOOST_TEST(start.order.ticket == "t-v2");
+        BOOST_TEST(start.command.ticket == "t-v2");
     }
     // The other VMs were denied and may never run the step, so no request names them again.
     BOOST_TEST(!wantsAdvice());
@@ -93,8 +93,8 @@
     const auto started = starts();
     BOOST_REQUIRE(started.size() == 1u);
     // The VM was restarted, which invalidates its tickets.
-    applyStartOutcome(
-        state, "v1", started[0].order.task, started[0].order.run, OrderOutcome::BadTicket, clock.now());
+    applyStartOutcome(state, "v1", started[0].command.task, started[0].command.run,
+        CommandOutcome::InvalidTicket, clock.now());
     BOOST_TEST(starts().empty());
     BOOST_TEST(answer({ "v1" }) == std::vector<std::string> { "v1" }, boost::test_tools::per_element());
     BOOST_TEST(starts().size() == 1u);
@@ -104,8 +104,8 @@
 {
     submit("j1", { makeStep(1) });
     starts();
-    const auto question = planAdvice(state, clock.now());
-    applyAdvice(state, *question, tl::make_unexpected(OrderOutcome::Refused), clock.now());
+    const auto question = planAdviceRequest(state, clock.now());
+    applyAdvice(state, *question, tl::make_unexpected(CommandOutcome::Refused), clock.now());
     BOOST_TEST(!wantsAdvice());
     advance(250ms);
     BOOST_TEST(wantsAdvice());
--- a/src/libscheduler/table_contact.cpp
+++ b/src/libscheduler/table_contact.cpp
@@ -20,9 +20,9 @@
 
 } // namespace
 
-void noteContact(TableContact& contact, TimePoint now) { contact = { now, 0 }; }
+void recordContact(TableContact& contact, TimePoint now) { contact = { now, 0 }; }
 
-void noteNoContact(TableContact& contact) { ++contact.failures; }
+void recordFailedContact(TableContact& contact) { ++contact.failures; }
 
 bool looksReachable(const TableContact& contact, TimePoint now)
 {
@@ -34,7 +34,7 @@
     return now - contact.lastAnswer < outageThreshold ? shortRetryDelay : longRetryDelay;
 }
 
-bool isLost(const TableContact& contact, TimePoint now)
+bool isUnreachable(const TableContact& contact, TimePoint now)
 {
     return contact.failures >= failuresUntilUnreachable || now - contact.lastAnswer >= maxSilence;
 }
--- a/src/libscheduler/table_contact_test.cpp
+++ b/src/libscheduler/table_contact_test.cpp
@@ -15,31 +15,31 @@
     ManualClock clock;
     TableContact contact;
     BOOST_TEST(!looksReachable(contact, clock.now()));
-    noteContact(contact, clock.now());
+    recordContact(contact, clock.now());
     BOOST_TEST(looksReachable(contact, clock.now()));
-    noteNoContact(contact);
+    recordFailedContact(contact);
     BOOST_TEST(looksReachable(contact, clock.now()));
-    noteNoContact(contact);
+    recordFailedContact(contact);
     BOOST_TEST(!looksReachable(contact, clock.now()));
-    BOOST_TEST(!isLost(contact, clock.now()));
-    noteNoContact(contact);
-    BOOST_TEST(isLost(contact, clock.now()));
-    noteContact(contact, clock.now());
+    BOOST_TEST(!isUnreachable(contact, clock.now()));
+    recordFailedContact(contact);
+    BOOST_TEST(isUnreachable(contact, clock.now()));
+    recordContact(contact, clock.now());
     BOOST_TEST(looksReachable(contact, clock.now()));
-    BOOST_TEST(!isLost(contact, clock.now()));
+    BOOST_TEST(!isUnreachable(contact, clock.now()));
 }
 
 BOOST_AUTO_TEST_CASE(hangingCallsMakeNodeUnreadyBeforeTheyEnd)
 {
     ManualClock clock;
     TableContact contact;
-    noteContact(contact, clock.now());
+    recordContact(contact, clock.now());
     clock.advance(1250ms); // a call that waited for changes until its time limit, and the pause after it
     BOOST_TEST(looksReachable(contact, clock.now()));
-    BOOST_TEST(!isLost(contact, clock.now()));
+    BOOST_TEST(!isUnreachable(contact, clock.now()));
     clock.advance(300ms);
     BOOST_TEST(!looksReachable(contact, clock.now()));
-    BOOST_TEST(isLost(contact, clock.now()));
+    BOOST_TEST(isUnreachable(contact, clock.now()));
 }
 
 BOOST_AUTO_TEST_CASE(callerRetriesOutlastATableOutage)
@@ -48,7 +48,7 @@
     // and a caller that retries every second gives up before that.
     ManualClock clock;
     TableContact contact;
-    noteContact(contact, clock.now());
+    recordContact(contact, clock.now());
     std::chrono::seconds waited { 0 };
     for (int attempt = 0; attempt < 4; ++attempt) {
         const auto wait = retryAfter(contact, clock.now());
--- a/src/pool.controller/fleet_model.cpp
+++ b/src/pool.controller/fleet_model.cpp
@@ -193,12 +193,12 @@
 
 void Model::renewLeases(Node& node)
 {
-    lease::Surroundings around { {}, m_members, node.lastContact, false };
+    lease::ClusterView around { {}, m_members, node.lastContact, false };
     for (const auto& key : Registry<controller::Definition>::instance().find("pool")->keys(node.catalogue))
         around.keys.push_back("pool/" + key);
-    for (const auto& attempt : lease::decide(node.leases, leaseSettings(), around, m_now))
+    for (const auto& attempt : lease::planAttempts(node.leases, leaseSettings(), around, m_now))
         commit(node, attempt.transaction, [this, &node, attempt](const PlatformResult<TableVersion>& result) {
-            lease::finish(node.leases, attempt, result, m_now);
+            lease::applyResult(node.leases, attempt, result, m_now);
         });
 }
 
@@ -206,7 +206,7 @@
 {
     auto& work = node.work[key];
     const auto& lease = node.leases.leases[key];
-    if (work.pending > 0 || std::max(work.committed, lease.fence) > node.seen
+    if (work.pending > 0 || std::max(work.committed, lease.fenceVersion) > node.seen
         || !lease::mayAct(node.leases, leaseSettings(), key, node.lastContact, m_now))
         return;
     if (std::exchange(work.epoch, lease.content.epoch) != lease.content.epoch)
--- a/src/pool.controller/pool_controller.cpp
+++ b/src/pool.controller/pool_controller.cpp
@@ -18,14 +18,14 @@
 std::vector<controller::Action> plan(const controller::View& view, std::string_view key, std::any& scratch)
 {
     if (!scratch.has_value())
-        scratch = maintenance::Watches {};
+        scratch = maintenance::VmTrackers {};
     std::vector<controller::Action> actions;
     if (!view.catalogue.find(Kind::Pool, key))
         return actions;
     const auto before = pool_rows::read(view, key);
     auto after = before;
-    const auto result = maintenance::step(
-        after, *std::any_cast<maintenance::Watches>(&scratch), pool_rows::settings(view.catalogue), view.now);
+    const auto result = maintenance::step(after, *std::any_cast<maintenance::VmTrackers>(&scratch),
+        pool_rows::settings(view.catalogue), view.now);
     for (const auto& command : result.commands)
         actions.emplace_back(controller::CommandVm { command.vm, command.command });
     auto transaction = pool_rows::write(view.catalogue, before, after, result);
--- a/src/pool.controller/pool_rows.cpp
+++ b/src/pool.controller/pool_rows.cpp
@@ -198,7 +198,7 @@
         const auto* resource = catalogue.find(Kind::Wave, wave.name);
         if (wave != before.waves[i] || catalogue.statusVersion(Kind::Wave, wave.name) == 0)
             addStatus(out, catalogue, *resource, waveStatus(resource->status, wave));
-        else if (result.wavesUsed.contains(wave.name))
+        else if (result.wavesWithNewPermits.contains(wave.name))
             addSpecCondition(out, *resource);
     }
     const auto* pool = catalogue.find(Kind::Pool, after.name);
--- a/testsuite/soak/checker.cpp
+++ b/testsuite/soak/checker.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-void Checker::broken(const std::string& what)
+void Checker::reportViolation(const std::string& what)
 {
     faults.push_back(what);
     std::cout << "broken: " << what << std::endl;
@@ -23,17 +23,17 @@
 {
     const auto name = toString(task) + " on " + vm;
     if (pool != job.queue.pool)
-        broken(name + " runs in pool " + pool);
+        reportViolation(name + " runs in pool " + pool);
     if (job.handed == Handed::Refused)
-        broken(name + " runs though its job was refused");
+        reportViolation(name + " runs though its job was refused");
     if (job.isCancelled() && std::chrono::steady_clock::now() - job.cancelledAt > cancelBound)
-        broken(name + " starts long after its job was cancelled");
+        reportViolation(name + " starts long after its job was cancelled");
     for (const int before : job.spec.steps[static_cast<std::size_t>(task.step)].after) {
         const int wanted = job.spec.steps[static_cast<std::size_t>(before)].count;
         const auto done = std::count_if(job.tasks.begin(), job.tasks.end(),
             [&](const auto& entry) { return entry.first.step == before && entry.second.done; });
         if (done < wanted)
-            broken(name + " starts before step " + std::to_string(before) + " is done");
+            reportViolation(name + " starts before step " + std::to_string(before) + " is done");
     }
 }
 
@@ -43,17 +43,17 @@
     ++runs;
     const auto found = jobs.find(task.job);
     if (found == jobs.end() || spec != found->second.spec.spec)
-        return broken(toString(task) + " on " + vm + " was not asked for");
+        return reportViolation(toString(task) + " on " + vm + " was not asked for");
     auto& job = found->second;
     ++job.starts;
     checkStart(job, vm, pool, task);
     auto& check = job.tasks[task];
     if (!check.live.empty())
-        broken(toString(task) + " runs twice, run " + std::to_string(run) + " on " + vm);
+        reportViolation(toString(task) + " runs twice, run " + std::to_string(run) + " on " + vm);
     if (check.doneNoted)
-        broken(toString(task) + " runs again after its end was recorded, on " + vm);
+        reportViolation(toString(task) + " runs again after its end was recorded, on " + vm);
     if (!job.lasts() && static_cast<int>(check.failedNoted.size()) >= job.queue.maxAttempts)
-        broken(toString(task) + " runs after all its attempts");
+        reportViolation(toString(task) + " runs after all its attempts");
     check.live.insert(run);
 }
 
@@ -77,7 +77,7 @@
     auto& job = jobs.at(id);
     job.handed = Handed::Refused;
     if (job.starts > 0)
-        broken(id + " was refused though it runs");
+        reportViolation(id + " was refused though it runs");
 }
 
 void Checker::shown(const std::string& id, const std::string& state)
@@ -85,9 +85,9 @@
     auto& job = jobs.at(id);
     job.finalState = state;
     if (state == "failed" && !job.alwaysFails)
-        broken(id + " is shown as failed");
+        reportViolation(id + " is shown as failed");
     if (state == "cancelled" && !job.cancelAsked)
-        broken(id + " is shown as cancelled");
+        reportViolation(id + " is shown as cancelled");
     if (state != "completed")
         return;
     std::size_t wanted = 0;
@@ -96,7 +96,8 @@
     const auto done = std::count_if(
         job.tasks.begin(), job.tasks.end(), [](const auto& entry) { return entry.second.done; });
     if (static_cast<std::size_t>(done) < wanted)
-        broken(id + " is shown as completed with " + std::to_string(done) + " of " + std::to_string(wanted));
+        reportViolation(
+            id + " is shown as completed with " + std::to_string(done) + " of " + std::to_string(wanted));
 }
 
 bool Checker::isSettled(const JobCheck& job) const
--- a/testsuite/soak/checker.h
+++ b/testsuite/soak/checker.h
@@ -51,7 +51,7 @@
         const std::string& spec) override;
     void ended(const std::string& vm, const TaskId& task, std::uint32_t run, const std::string& how) override;
     void acknowledged(const TaskId& task, std::uint32_t run, const std::string& how) override;
-    void broken(const std::string& what) override;
+    void reportViolation(const std::string& what) override;
     /// The caller was told for good that the job is not accepted.
     void refused(const std::string& job);
     /// The caller was shown a final state.
--- a/testsuite/soak/soak.cpp
+++ b/testsuite/soak/soak.cpp
@@ -44,7 +44,7 @@
 
 /// A process of the fleet role and the relay before its table.
 struct Node {
-    NodePlace place;
+    NodeAddresses place;
     std::string settings;
     std::string log;
     std::unique_ptr<harness::Process> process;
@@ -170,9 +170,9 @@
     job.queue = m_queues[static_cast<std::size_t>(pick(static_cast<int>(m_queues.size())))];
     job.alwaysFails = pick(25) == 0;
     const bool lasts = pick(40) == 0;
-    const Work work { 40 + pick(160), job.alwaysFails ? 1.0 : 0.0, lasts, 100 + 100 * pick(5) };
+    const TaskBehaviour work { 40 + pick(160), job.alwaysFails ? 1.0 : 0.0, lasts, 100 + 100 * pick(5) };
     job.spec.id = id;
-    job.spec.spec = encodeWork(work);
+    job.spec.spec = encodeBehaviour(work);
     const int steps = lasts ? 1 : 1 + pick(3);
     for (int i = 0; i < steps; ++i) {
         fleet::StepSpec step;
@@ -239,8 +239,8 @@
                 if (!result || m_checker.isSettled(job))
                     return;
                 if (result->status == 410)
-                    return m_checker.broken(id + " was accepted and is not known");
-                const auto state = stateIn(*result);
+                    return m_checker.reportViolation(id + " was accepted and is not known");
+                const auto state = decodeState(*result);
                 if (state == "completed" || state == "failed" || state == "cancelled")
                     m_checker.shown(id, state);
             });
@@ -326,7 +326,7 @@
         table.faults.delay = milliseconds(50 + pick(300));
         break;
     default:
-        return table.forgetHistory();
+        return table.truncateHistory();
     }
     later(time, [&table] { table.faults = {}; });
 }
@@ -361,7 +361,7 @@
         if (due.empty() || m_waves >= 2)
             return;
         say("wave of " + std::to_string(due.size()));
-        return m_platform.orderWave(++m_waves, due, 2, seconds(20));
+        return m_platform.requestWave(++m_waves, due, 2, seconds(20));
     }
     }
     later(milliseconds(500 + pick(2000)), [this, machine] {
@@ -380,7 +380,7 @@
     for (auto& node : m_nodes) {
         setRelay(node, nlohmann::json::object());
         if (node.process->hasEnded() && !node.paused)
-            m_checker.broken(node.place.node + " has ended by itself");
+            m_checker.reportViolation(node.place.node + " has ended by itself");
     }
     for (auto& [id, job] : m_checker.jobs) {
         if (job.lasts() && !job.isCancelled())
@@ -391,7 +391,7 @@
 bool Soak::isDone()
 {
     for (std::int64_t wave = 1; wave <= m_waves; ++wave) {
-        if (!m_platform.isWaveDone(wave))
+        if (!m_platform.isWaveCompleted(wave))
             return false;
     }
     return m_checker.liveRuns() == 0
@@ -417,9 +417,10 @@
     if (!m_loop.runUntil([this] { return isDone(); }, settleLimit)) {
         for (const auto& [id, job] : m_checker.jobs) {
             if (!m_checker.isSettled(job))
-                m_checker.broken(id + " has not ended, " + std::to_string(job.starts) + " starts");
+                m_checker.reportViolation(id + " has not ended, " + std::to_string(job.starts) + " starts");
         }
-        m_checker.broken("not all work has ended; live runs: " + std::to_string(m_checker.liveRuns()));
+        m_checker.reportViolation(
+            "not all work has ended; live runs: " + std::to_string(m_checker.liveRuns()));
     }
     say(std::to_string(m_jobs) + " jobs, " + std::to_string(m_checker.runs) + " runs, "
         + std::to_string(m_faults) + " faults, " + std::to_string(m_checker.faults.size()) + " broken");
