--- a/src/jobs.controller/job_rows.cpp
+++ b/src/jobs.controller/job_rows.cpp
@@ -10,9 +10,10 @@
     return { spec.value("cpu", 0.0), spec.value("memoryMb", 0.0), spec.value("accelerators", 0.0) };
 }
 
-/// Each version of a declaration has a generation of its own, so a row written for the same or a later
-/// generation but another version was written for an earlier job of this name.
-bool isOfEarlierJob(const Resource& job)
+/// Whether the status row was written for an earlier job of the same name. Each version of a job's spec has
+/// its own, higher generation, so a row with another spec version and the same or a later generation belongs
+/// to an earlier job.
+bool belongsToEarlierJob(const Resource& job)
 {
     const auto version = job.status.value("specVersion", std::uint64_t { 0 });
     return version != job.version && job.generation <= job.status.value("generation", std::uint64_t { 0 });
@@ -38,7 +39,7 @@
 placement::Progress readProgress(const Resource& job)
 {
     placement::Progress progress;
-    if (job.status.empty() || isOfEarlierJob(job))
+    if (job.status.empty() || belongsToEarlierJob(job))
         return progress;
     const auto& status = job.status;
     progress.phase
@@ -47,24 +48,23 @@
     progress.task = status.value("task", "");
     progress.epoch = status.value("epoch", std::uint64_t { 0 });
     progress.attempts = status.value("attempts", 0u);
-    progress.stopReason = valueOf(placement::stopReasonNames, status.value("ending", "none"))
-                              .value_or(placement::StopReason::None);
+    progress.ending
+        = valueOf(placement::endingNames, status.value("ending", "none")).value_or(placement::Ending::None);
     progress.failedOn = status.value("failedOn", std::vector<std::string> {});
     const auto conditions = status.value("conditions", std::vector<std::string> {});
     progress.condition = conditions.empty() ? "" : conditions.front();
     return progress;
 }
 
-std::string progressRow(const Resource& job, const placement::Progress& progress)
+std::string encodeProgress(const Resource& job, const placement::Progress& progress)
 {
     json conditions = json::array();
     if (!progress.condition.empty())
         conditions.push_back(progress.condition);
     const json row = { { "phase", nameOf(placement::phaseNames, progress.phase) }, { "vm", progress.vm },
         { "task", progress.task }, { "epoch", progress.epoch }, { "attempts", progress.attempts },
-        { "ending", nameOf(placement::stopReasonNames, progress.stopReason) },
-        { "failedOn", progress.failedOn }, { "conditions", conditions }, { "generation", job.generation },
-        { "specVersion", job.version } };
+        { "ending", nameOf(placement::endingNames, progress.ending) }, { "failedOn", progress.failedOn },
+        { "conditions", conditions }, { "generation", job.generation }, { "specVersion", job.version } };
     return row.dump();
 }
 
