--- a/src/damaskd/api.cpp
+++ b/src/damaskd/api.cpp
@@ -12,8 +12,8 @@
 using nlohmann::json;
 
 constexpr std::string_view retryAfterSeconds = "1";
-/// Changes are refused when the table has not answered for this long.
-constexpr std::chrono::milliseconds tableSilenceLimit { 5000 };
+/// Changes are refused if the last successful poll of the table is older than this.
+constexpr std::chrono::milliseconds maxTableAge { 5000 };
 
 void reply(const std::shared_ptr<HttpExchange>& exchange, int status, const json& body)
 {
@@ -25,10 +25,10 @@
 }
 
 void replyError(const std::shared_ptr<HttpExchange>& exchange, int status, std::string_view error,
-    json more = json::object())
+    json details = json::object())
 {
-    more["error"] = error;
-    reply(exchange, status, more);
+    details["error"] = error;
+    reply(exchange, status, details);
 }
 
 std::vector<std::string> splitPath(std::string_view path)
@@ -54,7 +54,8 @@
     return value;
 }
 
-/// The body as an object with only the members in \p allowed; replies and returns nothing if it is not.
+/// Parses the body as a JSON object that has only members in \p allowed. Otherwise replies with an error and
+/// returns nothing.
 std::optional<json> parseBody(
     const std::shared_ptr<HttpExchange>& exchange, std::initializer_list<std::string_view> allowed)
 {
@@ -80,25 +81,25 @@
 } // namespace
 
 Api::Api(Dependencies dependencies)
-    : m_deps(std::move(dependencies))
+    : m_dependencies(std::move(dependencies))
 {
 }
 
 void Api::serve(std::shared_ptr<HttpExchange> exchange)
 {
     const auto& path = exchange->request().path;
-    m_deps.metrics.count("damask_api_requests_total");
+    m_dependencies.metrics.count("damask_api_requests_total");
     if (path == "/healthz")
         return exchange->reply({ 200, { { "Content-Type", "text/plain" } }, "ok\n" });
     if (path == "/readyz") {
-        const auto status = m_deps.status();
+        const auto status = m_dependencies.status();
         return exchange->reply({ status.ready ? 200 : 503, { { "Content-Type", "text/plain" } },
             status.ready ? "ready\n" : status.reason + "\n" });
     }
     if (path == "/metrics") {
-        m_deps.beforeMetrics();
+        m_dependencies.refreshGauges();
         return exchange->reply(
-            { 200, { { "Content-Type", "text/plain; version=0.0.4" } }, m_deps.metrics.text() });
+            { 200, { { "Content-Type", "text/plain; version=0.0.4" } }, m_dependencies.metrics.text() });
     }
     auto parts = splitPath(path);
     if (parts.size() < 2 || parts[0] != "v1")
@@ -111,11 +112,12 @@
 {
     const auto& message = exchange->request();
     if (parts[0] == "status" && parts.size() == 1) {
-        const auto status = m_deps.status();
+        const auto status = m_dependencies.status();
         return reply(exchange, 200,
             { { "node", status.node }, { "dataCentre", status.dataCentre }, { "ready", status.ready },
                 { "reason", status.reason }, { "configurationGeneration", status.configurationGeneration },
-                { "tableAgeMs", status.tableAge.count() }, { "tableVersion", m_deps.mirror.version() } });
+                { "tableAgeMs", status.tableAge.count() },
+                { "tableVersion", m_dependencies.mirror.version() } });
     }
     if (parts[0] == "watch" && parts.size() == 1) {
         std::set<Kind> kinds;
@@ -154,31 +156,31 @@
 void Api::list(const Exchange& exchange, Kind kind)
 {
     json items = json::array();
-    for (const auto* found : m_deps.catalogue.list(kind))
+    for (const auto* found : m_dependencies.catalogue.list(kind))
         items.push_back(resource::toJson(*found));
-    reply(exchange, 200, { { "items", items }, { "resourceVersion", m_deps.mirror.version() } });
+    reply(exchange, 200, { { "items", items }, { "resourceVersion", m_dependencies.mirror.version() } });
 }
 
 void Api::read(const Exchange& exchange, Kind kind, const std::string& name)
 {
-    const auto* known = m_deps.catalogue.find(kind, name);
-    Resource present;
-    if (known)
-        present = *known;
-    present.kind = kind;
-    present.name = name;
-    m_deps.store.platform().readRow(resource::specKey(kind, name),
-        [exchange, present, known = known != nullptr](PlatformResult<Row> row) mutable {
-            if (row && resource::readSpecRow(row->value, present)) {
-                present.version = row->version;
-                return reply(exchange, 200, resource::toJson(present));
+    const auto* cached = m_dependencies.catalogue.find(kind, name);
+    Resource current;
+    if (cached)
+        current = *cached;
+    current.kind = kind;
+    current.name = name;
+    m_dependencies.store.platform().readRow(resource::specKey(kind, name),
+        [exchange, current, isCached = cached != nullptr](PlatformResult<Row> row) mutable {
+            if (row && resource::readSpecRow(row->value, current)) {
+                current.version = row->version;
+                return reply(exchange, 200, resource::toJson(current));
             }
             if (!row && row.error().failure == PlatformFailure::NotFound)
-                return replyError(exchange, 404, "not found", { { "name", present.name } });
-            if (!known)
+                return replyError(exchange, 404, "not found", { { "name", current.name } });
+            if (!isCached)
                 return replyError(exchange, 503, "the table is unavailable");
-            auto body = resource::toJson(present);
-            body["stale"] = true; // from this node's copy, the table is unavailable
+            auto body = resource::toJson(current);
+            body["stale"] = true; // the table is unavailable, so this is the node's own copy
             reply(exchange, 200, body);
         });
 }
@@ -212,7 +214,7 @@
     if (!body->contains("resourceVersion") || !(*body)["resourceVersion"].is_number_unsigned())
         return replyInvalid(exchange,
             { { "resourceVersion", body->value("resourceVersion", json()).dump(),
-                "the version that is replaced" } });
+                "the resourceVersion to replace, an unsigned integer" } });
     Resource replaced;
     replaced.kind = kind;
     replaced.name = name;
@@ -223,19 +225,19 @@
         errors = checkReferences(replaced);
     if (!errors.empty())
         return replyInvalid(exchange, errors);
-    // The generation follows from the row that is replaced, so the row is read first.
-    m_deps.store.platform().readRow(
+    // The new generation is one above that of the replaced row, so read the row first.
+    m_dependencies.store.platform().readRow(
         resource::specKey(kind, name), [this, exchange, replaced](PlatformResult<Row> row) mutable {
             if (!row && row.error().failure == PlatformFailure::NotFound)
                 return replyError(exchange, 404, "not found", { { "name", replaced.name } });
-            Resource present;
-            if (!row || !resource::readSpecRow(row->value, present))
+            Resource current;
+            if (!row || !resource::readSpecRow(row->value, current))
                 return replyError(exchange, 503, "the table is unavailable; nothing was changed");
             if (row->version != replaced.version)
                 return replyError(exchange, 409, "conflict",
                     { { "field", "resourceVersion" }, { "value", replaced.version },
                         { "presentVersion", row->version } });
-            replaced.generation = present.generation + 1;
+            replaced.generation = current.generation + 1;
             const auto key = resource::specKey(replaced.kind, replaced.name);
             Transaction transaction { { { key, replaced.version } },
                 { { key, resource::specRow(replaced) } } };
@@ -250,13 +252,13 @@
     if (!version || *version == 0)
         return replyInvalid(exchange,
             { { "resourceVersion", text.value_or(""),
-                "the version that is deleted, as a query parameter" } });
+                "the resourceVersion to delete, as a query parameter" } });
     if (kind == Kind::Configuration && name == currentConfiguration)
         return replyInvalid(
             exchange, { { "name", name, "the configuration in force can only be replaced" } });
-    if (!m_deps.catalogue.find(kind, name))
+    if (!m_dependencies.catalogue.find(kind, name))
         return replyError(exchange, 404, "not found", { { "name", name } });
-    Resource removed = *m_deps.catalogue.find(kind, name);
+    Resource removed = *m_dependencies.catalogue.find(kind, name);
     Transaction transaction;
     transaction.conditions.push_back({ resource::specKey(kind, name), *version });
     transaction.writes.push_back({ resource::specKey(kind, name), std::nullopt });
@@ -268,12 +270,12 @@
     auto body = parseBody(exchange, { "pool" });
     if (!body)
         return;
-    const auto* vm = m_deps.catalogue.find(Kind::Vm, name);
+    const auto* vm = m_dependencies.catalogue.find(Kind::Vm, name);
     if (!vm)
         return replyError(exchange, 404, "not found", { { "name", name } });
     const auto pool
         = body->contains("pool") && (*body)["pool"].is_string() ? (*body)["pool"].get<std::string>() : "";
-    if (!m_deps.catalogue.find(Kind::Pool, pool))
+    if (!m_dependencies.catalogue.find(Kind::Pool, pool))
         return replyInvalid(exchange, { { "pool", pool, "the name of a pool" } });
     Resource moved = *vm;
     if (!moved.status.contains("pool"))
@@ -281,28 +283,28 @@
     if (!moved.status.contains("phase"))
         moved.status["phase"] = "in_service";
     if (moved.status["pool"] == pool)
-        return replyInvalid(exchange, { { "pool", pool, "a pool other than the VM's present one" } });
+        return replyInvalid(exchange, { { "pool", pool, "a pool other than the VM's current pool" } });
     moved.status["moveTo"] = pool;
     const auto key = resource::statusKey(Kind::Vm, name);
     Transaction transaction;
     transaction.conditions.push_back({ resource::specKey(Kind::Vm, name), vm->version });
-    transaction.conditions.push_back({ key, m_deps.catalogue.statusVersion(Kind::Vm, name) });
+    transaction.conditions.push_back({ key, m_dependencies.catalogue.statusVersion(Kind::Vm, name) });
     transaction.writes.push_back({ key, moved.status.dump() });
     commit(exchange, std::move(moved), std::move(transaction), 202);
 }
 
 void Api::commit(const Exchange& exchange, Resource resource, Transaction transaction, int successStatus)
 {
-    // While the table is silent nothing is sent, so that the operator gets a definite answer at once.
-    if (m_deps.status().tableAge > tableSilenceLimit) {
-        m_deps.mirror.pollNow();
-        return replyError(exchange, 503, "the table has been silent for too long; nothing was changed",
+    // Refuse at once rather than start a commit whose outcome may stay unknown.
+    if (m_dependencies.status().tableAge > maxTableAge) {
+        m_dependencies.mirror.pollNow();
+        return replyError(exchange, 503, "the table has not responded for too long; nothing was changed",
             { { "outcome", "not_changed" } });
     }
-    m_deps.store.commit(std::move(transaction),
+    m_dependencies.store.commit(std::move(transaction),
         [this, exchange, resource, successStatus](PlatformResult<TableVersion> result) mutable {
             if (result) {
-                m_deps.mirror.pollNow();
+                m_dependencies.mirror.pollNow();
                 if (successStatus != 202)
                     resource.version = *result;
                 return reply(exchange, successStatus, resource::toJson(resource));
@@ -328,7 +330,7 @@
     std::vector<FieldError> errors;
     auto requirePool = [&](const std::string& field, const json& value) {
         const auto pool = value.get<std::string>();
-        if (!m_deps.catalogue.find(Kind::Pool, pool))
+        if (!m_dependencies.catalogue.find(Kind::Pool, pool))
             errors.push_back({ field, pool, "the name of a pool" });
     };
     if (resource.spec.contains("pool"))
@@ -343,15 +345,15 @@
             requirePool("spec.routes[" + std::to_string(index++) + "].pool", route["pool"]);
     }
     if (resource.kind == Kind::Job && resource.spec["team"] != "default"
-        && !m_deps.catalogue.find(Kind::Team, resource.spec["team"].get<std::string>()))
+        && !m_dependencies.catalogue.find(Kind::Team, resource.spec["team"].get<std::string>()))
         errors.push_back({ "spec.team", resource.spec["team"], "the name of a team, or default" });
     if (resource.kind == Kind::Budget && errors.empty()) {
-        std::int64_t size = 0;
-        for (const auto* vm : m_deps.catalogue.list(Kind::Vm))
-            size += vm->status.value("pool", vm->spec.value("pool", "")) == resource.spec["pool"];
-        if (resource.spec["maxUnavailable"].get<std::int64_t>() > size)
+        std::int64_t poolSize = 0; // VMs
+        for (const auto* vm : m_dependencies.catalogue.list(Kind::Vm))
+            poolSize += vm->status.value("pool", vm->spec.value("pool", "")) == resource.spec["pool"];
+        if (resource.spec["maxUnavailable"].get<std::int64_t>() > poolSize)
             errors.push_back({ "spec.maxUnavailable", resource.spec["maxUnavailable"].dump(),
-                "at most the pool's size, " + std::to_string(size) });
+                "at most the pool's size, " + std::to_string(poolSize) });
     }
     return errors;
 }
@@ -364,19 +366,19 @@
         if (!since)
             return replyInvalid(exchange, { { "since", *text, "a resource version" } });
     }
-    m_deps.watches.open(exchange, since, std::move(kinds));
+    m_dependencies.watchHub.open(exchange, since, std::move(kinds));
 }
 
 void Api::rollout(const Exchange& exchange)
 {
-    const auto* configuration = m_deps.catalogue.find(Kind::Configuration, currentConfiguration);
-    const auto self = m_deps.status();
+    const auto* configuration = m_dependencies.catalogue.find(Kind::Configuration, currentConfiguration);
+    const auto self = m_dependencies.status();
     json nodes = json::array();
     nodes.push_back({ { "node", self.node }, { "dataCentre", self.dataCentre },
         { "generation", self.configurationGeneration }, { "lastHeardMs", 0 } });
-    for (const auto& [name, view] : m_deps.peers.views()) {
-        const auto age
-            = std::chrono::duration_cast<std::chrono::milliseconds>(m_deps.clock.now() - view.lastHeard);
+    for (const auto& [name, view] : m_dependencies.peers.views()) {
+        const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(
+            m_dependencies.clock.now() - view.lastHeard);
         nodes.push_back({ { "node", name }, { "dataCentre", view.heartbeat.dataCentre },
             { "generation", view.heartbeat.configurationVersion }, { "lastHeardMs", age.count() } });
     }
--- a/src/damaskd/api_pvt.h
+++ b/src/damaskd/api_pvt.h
@@ -1,5 +1,5 @@
 /// \file
-/// The resource API and the pages for operators.
+/// The admin HTTP server's handlers: the resource API, metrics and health checks.
 #pragma once
 
 #include "watch_pvt.h"
@@ -18,14 +18,14 @@
 
 namespace damask {
 
-/// What the API reports of this node.
+/// The state of this node as the API reports it.
 struct NodeStatus {
     std::string node;
     std::string dataCentre;
     bool ready = false;
-    std::string reason; ///< why it is not ready
+    std::string reason; ///< why it is not ready; empty if it is
     std::uint64_t configurationGeneration = 0;
-    std::chrono::milliseconds tableAge { 0 }; ///< since the last contact with the table
+    std::chrono::milliseconds tableAge { 0 }; ///< since the last successful poll, or the start
 };
 
 /// Serves `/v1/...`, `/metrics`, `/healthz` and `/readyz`.
@@ -36,15 +36,15 @@
         Mirror& mirror;
         const Catalogue& catalogue;
         Metrics& metrics;
-        WatchHub& watches;
+        WatchHub& watchHub;
         const PeerService& peers;
         const Clock& clock;
         std::function<NodeStatus()> status;
-        std::function<void()> beforeMetrics; ///< refreshes gauges
+        std::function<void()> refreshGauges; ///< called before the metrics are formatted
     };
     explicit Api(Dependencies dependencies);
 
-    /// Serves one request.
+    /// Serves one request. The reply may come later, through \p exchange.
     void serve(std::shared_ptr<HttpExchange> exchange);
 
 private:
@@ -56,13 +56,17 @@
     void replace(const Exchange& exchange, Kind kind, const std::string& name);
     void remove(const Exchange& exchange, Kind kind, const std::string& name);
     void watch(const Exchange& exchange, std::set<Kind> kinds);
-    /// Asks for the VM to be moved to another pool; the pool's controller carries it out.
+    /// Requests the move of a VM to another pool, which the pool's controller carries out later.
     void moveVm(const Exchange& exchange, const std::string& name);
+    /// Lists the configuration generation that each node has applied.
     void rollout(const Exchange& exchange);
+    /// Commits \p transaction and replies with \p resource and \p successStatus, or with the error.
     void commit(const Exchange& exchange, Resource resource, Transaction transaction, int successStatus);
+    /// Checks that the pools, teams and policies that \p resource names exist, and that a budget fits its
+    /// pool.
     std::vector<FieldError> checkReferences(const Resource& resource) const;
 
-    Dependencies m_deps;
+    Dependencies m_dependencies;
 };
 
 } // namespace damask
--- a/src/damaskd/daemon.cpp
+++ b/src/damaskd/daemon.cpp
@@ -9,22 +9,24 @@
 namespace damask {
 namespace {
 
-constexpr std::chrono::milliseconds listPeriod { 1000 };
+constexpr std::chrono::milliseconds fleetViewPeriod { 1000 };
 constexpr std::chrono::milliseconds peerPeriod { 1000 };
 constexpr std::chrono::milliseconds stopCheckPeriod { 20 };
-/// The loads of peers not heard for this long do not count.
-constexpr std::chrono::milliseconds memberLimit { 5000 };
-/// Time that a planned stop waits for its leases to be given up.
-constexpr std::chrono::milliseconds releaseLimit { 3000 };
-/// Time for which kept connections of callers are served with refusals before they are closed.
-constexpr std::chrono::milliseconds connectionLinger { 500 };
-/// Time between telling the balancer and refusing new requests.
-constexpr std::chrono::milliseconds balancerNotice { 500 };
+/// A peer whose heartbeat is older does not count as running, and its loads do not count as demand.
+constexpr std::chrono::milliseconds maxHeartbeatAge { 5000 };
+/// Time that a graceful stop waits for the release of leases and for the outcomes of keyed requests.
+constexpr std::chrono::milliseconds releaseTimeout { 3000 };
+/// Time for which a stop refuses requests on callers' keep-alive connections before it closes them.
+constexpr std::chrono::milliseconds connectionLingerTime { 500 };
+/// Time between the withdrawal from the balancer and the refusal of new requests, so that the balancer can
+/// send connections elsewhere first.
+constexpr std::chrono::milliseconds balancerUpdateDelay { 500 };
 
 constexpr std::string_view anyAddress = "0.0.0.0";
 
-/// Callers' bodies are small; answers of the table may be long.
-HttpLimits callerLimits() { return HttpLimits {}; }
+/// Limits of the caller and the admin server. Platform adapters, whose responses may be longer, have their
+/// own.
+HttpLimits serverLimits() { return HttpLimits {}; }
 
 std::unique_ptr<Platform> makePlatform(const DaemonSettings& settings, event_base* base)
 {
@@ -32,7 +34,7 @@
     return (*factory)({ base, settings.platform, settings.platformTimeout, "damaskd/" + settings.node });
 }
 
-std::unique_ptr<TraceExporter> makeExporter(const DaemonSettings& settings, event_base* base)
+std::unique_ptr<TraceExporter> makeTraceExporter(const DaemonSettings& settings, event_base* base)
 {
     if (settings.traceExporter.empty())
         return nullptr;
@@ -40,6 +42,7 @@
         { base, settings.traceTarget });
 }
 
+/// The start time in microseconds, so that a later process of the node has a higher incarnation.
 std::uint64_t makeIncarnation(const Clock& clock)
 {
     return static_cast<std::uint64_t>(
@@ -51,13 +54,13 @@
     controller::RunnerSettings out;
     out.reportPeriod = settings.reportPeriod;
     out.leasePollPeriod = settings.pollPeriod;
-    const Duration length = settings.leaseLength;
-    out.lease.length = length;
-    out.lease.renewPeriod = length / 3;
-    out.lease.safetyMargin = length / 6;
-    out.lease.rankDelay = length / 6;
-    out.lease.contactLimit = length / 2;
-    out.lease.minimumHold = length * 2;
+    const Duration leaseLength = settings.leaseLength;
+    out.lease.length = leaseLength;
+    out.lease.renewPeriod = leaseLength / 3;
+    out.lease.safetyMargin = leaseLength / 6;
+    out.lease.rankDelay = leaseLength / 6;
+    out.lease.contactLimit = leaseLength / 2;
+    out.lease.minimumHold = leaseLength * 2;
     return out;
 }
 
@@ -69,7 +72,7 @@
     , m_startedAt(clock.now())
     , m_incarnation(makeIncarnation(clock))
     , m_kjLoop(m_loop.base())
-    , m_exporter(makeExporter(settings, m_loop.base()))
+    , m_traceExporter(makeTraceExporter(settings, m_loop.base()))
     , m_platform(makePlatform(settings, m_loop.base()))
     , m_store(m_loop.base(), *m_platform, clock, m_metrics, settings.node, m_incarnation)
     , m_mirror(m_loop.base(), *m_platform, clock, m_metrics,
@@ -77,32 +80,33 @@
               std::string(snapshot::objectName) },
           m_incarnation + 1)
     , m_snapshots(*m_platform, m_mirror, clock, m_metrics, settings.cluster, settings.snapshotPeriod)
-    , m_keyed(m_loop.base(), m_store, clock, m_metrics, settings.node, m_incarnation,
-          [this](const auto& node, auto incarnation) { return isLive(node, incarnation); })
-    , m_freshness(m_loop.base(), clock, m_metrics, m_mirror)
-    , m_entry(m_loop.base(), clock, m_metrics, m_exporter.get(), m_keyed, m_freshness, settings.dataCentre,
-          m_incarnation + 2)
+    , m_keyClaims(m_loop.base(), m_store, clock, m_metrics, settings.node, m_incarnation,
+          [this](const auto& node, auto incarnation) { return isProcessLive(node, incarnation); })
+    , m_freshnessGuard(m_loop.base(), clock, m_metrics, m_mirror)
+    , m_entryProxy(m_loop.base(), clock, m_metrics, m_traceExporter.get(), m_keyClaims, m_freshnessGuard,
+          settings.dataCentre, m_incarnation + 2)
     , m_peers(m_loop.base(), clock, m_metrics,
-          { [this] { return heartbeat(); }, [this](const Heartbeat& heard) { onPeer(heard); },
+          { [this] { return makeHeartbeat(); },
+              [this](const Heartbeat& heartbeat) { onHeartbeat(heartbeat); },
               [this](TableVersion since) { return m_mirror.rowsSince(since); },
               [this](const RowSet& rows) { onPeerRows(rows); } },
           m_incarnation + 3)
     , m_controllers({ m_loop.base(), m_store, m_mirror, m_catalogue, clock, m_metrics, settings.node,
                         m_incarnation + 4 },
           runnerSettings(settings))
-    , m_watches(m_loop.base(), *m_platform, m_mirror)
-    , m_api({ m_store, m_mirror, m_catalogue, m_metrics, m_watches, m_peers, clock,
+    , m_watchHub(m_loop.base(), *m_platform, m_mirror)
+    , m_api({ m_store, m_mirror, m_catalogue, m_metrics, m_watchHub, m_peers, clock,
           [this] { return status(); }, [this] { refreshGauges(); } })
     , m_callerServer(
-          m_loop.base(), callerLimits(), [this](auto exchange) { m_entry.serve(std::move(exchange)); })
+          m_loop.base(), serverLimits(), [this](auto exchange) { m_entryProxy.serve(std::move(exchange)); })
     , m_adminServer(
-          m_loop.base(), callerLimits(), [this](auto exchange) { m_api.serve(std::move(exchange)); })
-    , m_listTimer(m_loop.base(), [this] { refreshList(); })
-    , m_peerTimer(m_loop.base(), [this] { tickPeers(); })
+          m_loop.base(), serverLimits(), [this](auto exchange) { m_api.serve(std::move(exchange)); })
+    , m_fleetViewTimer(m_loop.base(), [this] { refreshFleetView(); })
+    , m_peerTimer(m_loop.base(), [this] { onPeerTimer(); })
     , m_applyTimer(m_loop.base(), [this] { applyChanges(); })
     , m_stopTimer(m_loop.base(), [this] { continueStop(); })
-    , m_onTerminate(m_loop.base(), SIGTERM, [this] { beginStop(); })
-    , m_onInterrupt(m_loop.base(), SIGINT, [this] { beginStop(); })
+    , m_terminateSignal(m_loop.base(), SIGTERM, [this] { beginStop(); })
+    , m_interruptSignal(m_loop.base(), SIGINT, [this] { beginStop(); })
 {
     m_mirror.addListener([this](const Row& row) { onRow(row); });
 }
@@ -111,19 +115,20 @@
 
 tl::expected<void, DaemonError> Daemon::start()
 {
-    const auto fail = [](const NetError& error) { return tl::make_unexpected(DaemonError { error.detail }); };
-    if (!m_settings.traceExporter.empty() && !m_exporter)
+    const auto toDaemonError
+        = [](const NetError& error) { return tl::make_unexpected(DaemonError { error.detail }); };
+    if (!m_settings.traceExporter.empty() && !m_traceExporter)
         return tl::make_unexpected(DaemonError { "trace_target " + m_settings.traceTarget
-            + " can't be used by trace_exporter " + m_settings.traceExporter });
+            + " is not valid for trace_exporter " + m_settings.traceExporter });
     const auto callerPort = m_callerServer.listen(m_settings.listen);
     if (!callerPort)
-        return fail(callerPort.error());
+        return toDaemonError(callerPort.error());
     const auto adminPort = m_adminServer.listen(m_settings.adminListen);
     if (!adminPort)
-        return fail(adminPort.error());
+        return toDaemonError(adminPort.error());
     const auto peerPort = m_peers.listen(m_settings.peerListen);
     if (!peerPort)
-        return fail(peerPort.error());
+        return toDaemonError(peerPort.error());
     m_peerAddress = m_settings.peerAdvertise;
     if (m_peerAddress.port == 0 && m_settings.peerListen.ip != anyAddress)
         m_peerAddress = { m_settings.peerListen.ip, *peerPort };
@@ -132,83 +137,82 @@
         { { "caller_port", std::to_string(*callerPort) }, { "admin_port", std::to_string(*adminPort) },
             { "peer_port", std::to_string(*peerPort) } });
     m_mirror.start();
-    refreshList();
-    m_listTimer.startPeriodic(listPeriod);
+    refreshFleetView();
+    m_fleetViewTimer.startPeriodic(fleetViewPeriod);
     m_controllers.start();
     m_peerTimer.startPeriodic(peerPeriod);
-    tickPeers();
+    onPeerTimer();
     return {};
 }
 
 bool Daemon::run()
 {
     m_loop.run();
-    logEvent(LogLevel::Info, "stopped", { { "cut_requests", m_cutRequests ? "yes" : "no" } });
-    return !m_cutRequests;
+    logEvent(LogLevel::Info, "stopped", { { "cut_requests", m_hasCutRequests ? "yes" : "no" } });
+    return !m_hasCutRequests;
 }
 
-Heartbeat Daemon::heartbeat()
+Heartbeat Daemon::makeHeartbeat()
 {
     Heartbeat out;
     out.cluster = m_settings.cluster;
     out.node = m_settings.node;
     out.incarnation = m_incarnation;
     out.dataCentre = m_settings.dataCentre;
-    out.leaving = m_stopping;
-    out.configurationVersion = m_entry.configurationGeneration();
+    out.leaving = m_isStopping;
+    out.configurationVersion = m_entryProxy.configurationGeneration();
     out.tableVersion = m_mirror.version();
     out.specVersion = m_specVersion;
     out.address = m_peerAddress;
-    out.loads = m_entry.loads();
+    out.loads = m_entryProxy.poolLoads();
     out.sequence = ++m_heartbeatSequence;
     return out;
 }
 
-void Daemon::onPeer(const Heartbeat& heard)
+void Daemon::onHeartbeat(const Heartbeat& heartbeat)
 {
-    if (m_mirror.isCutOff() && heard.tableVersion > m_mirror.version())
+    if (m_mirror.isCutOff() && heartbeat.tableVersion > m_mirror.version())
         return m_peers.fetch(m_mirror.version());
-    // A peer that has a newer spec tells of a change.
-    if (heard.specVersion > m_specVersion)
+    // The table holds a newer spec, so poll it now and not only after the poll period.
+    if (heartbeat.specVersion > m_specVersion)
         m_mirror.pollNow();
 }
 
 void Daemon::onPeerRows(const RowSet& rows)
 {
-    const bool taken = m_mirror.take(rows);
-    m_metrics.count(taken ? "damask_peer_rows_taken_total" : "damask_peer_rows_refused_total");
+    const bool isAccepted = m_mirror.take(rows);
+    m_metrics.count(isAccepted ? "damask_peer_rows_taken_total" : "damask_peer_rows_refused_total");
 }
 
-void Daemon::tickPeers()
+void Daemon::onPeerTimer()
 {
     m_peers.tick();
     if (m_mirror.isCutOff())
         m_peers.fetch(m_mirror.version());
-    m_snapshots.consider(writesSnapshots());
-    refreshEntryVms();
+    m_snapshots.consider(isSnapshotWriter());
+    refreshEntryVmLoads();
 }
 
-void Daemon::refreshEntryVms()
+void Daemon::refreshEntryVmLoads()
 {
-    std::map<std::string, std::vector<PoolLoad>> loads { { m_settings.node, m_entry.loads() } };
-    const auto& known = m_peers.membership();
-    for (const auto& [node, view] : known.members) {
-        if (membership::phase(known, view, m_clock.now()) == membership::Phase::Live)
+    std::map<std::string, std::vector<PoolLoad>> loads { { m_settings.node, m_entryProxy.poolLoads() } };
+    const auto& membershipState = m_peers.membership();
+    for (const auto& [node, view] : membershipState.members) {
+        if (membership::phase(membershipState, view, m_clock.now()) == membership::Phase::Live)
             loads[node] = view.heartbeat.loads;
     }
-    m_entry.setEntryVms(m_settings.node, loads);
+    m_entryProxy.setEntryVmLoads(m_settings.node, loads);
 }
 
-/// One node, the first by name of those that are live, writes the snapshots.
-bool Daemon::writesSnapshots() const
+bool Daemon::isSnapshotWriter() const
 {
-    const auto& known = m_peers.membership();
-    for (const auto& [node, view] : known.members) {
+    const auto& membershipState = m_peers.membership();
+    for (const auto& [node, view] : membershipState.members) {
         if (node < m_settings.node
-            && membership::phase(known, view, m_clock.now()) == membership::Phase::Live)
+            && membership::phase(membershipState, view, m_clock.now()) == membership::Phase::Live)
             return false;
     }
-    return !m_stopping;
+    return !m_isStopping;
 }
 
 NodeStatus Daemon::status() const
@@ -216,15 +220,15 @@
     NodeStatus out;
     out.node = m_settings.node;
     out.dataCentre = m_settings.dataCentre;
-    out.configurationGeneration = m_entry.configurationGeneration();
+    out.configurationGeneration = m_entryProxy.configurationGeneration();
     const auto lastContact = std::max(m_mirror.lastContact(), m_startedAt);
     out.tableAge = std::chrono::duration_cast<std::chrono::milliseconds>(m_clock.now() - lastContact);
     const bool superseded = m_peers.membership().superseded;
-    out.ready = m_mirror.isComplete() && !m_stopping && !superseded;
+    out.ready = m_mirror.isComplete() && !m_isStopping && !superseded;
     out.reason = out.ready ? ""
-        : m_stopping       ? "stopping"
-        : superseded       ? "a newer process has this node's name"
-                           : "neither the table nor a peer's rows have been read yet";
+        : m_isStopping     ? "stopping"
+        : superseded       ? "a newer process uses this node's name"
+                           : "the resources have not been read yet from the table, a snapshot or a peer";
     return out;
 }
 
@@ -233,35 +237,35 @@
     m_catalogue.apply(row);
     if (std::string_view(row.key).starts_with(resource::specPrefix))
         m_specVersion = std::max(m_specVersion, row.version);
-    // Rows of one poll are applied together, at one moment of the loop.
+    // The timer fires after all rows of one poll have arrived, so that they are applied together.
     m_applyTimer.startOnce(std::chrono::microseconds(0));
 }
 
 void Daemon::applyChanges()
 {
-    m_entry.update(m_catalogue);
+    m_entryProxy.applyCatalogue(m_catalogue);
     m_controllers.planSoon();
-    if (m_specVersion <= m_hintedVersion)
+    if (m_specVersion <= m_announcedSpecVersion)
         return;
-    m_hintedVersion = m_specVersion;
+    m_announcedSpecVersion = m_specVersion;
     m_peers.hint();
 }
 
-bool Daemon::isLive(const std::string& node, std::uint64_t incarnation) const
+bool Daemon::isProcessLive(const std::string& node, std::uint64_t incarnation) const
 {
     if (node == m_settings.node)
         return incarnation == m_incarnation;
     const auto found = m_peers.views().find(node);
     return found != m_peers.views().end() && found->second.heartbeat.incarnation == incarnation
-        && m_clock.now() - found->second.lastHeard <= memberLimit;
+        && m_clock.now() - found->second.lastHeard <= maxHeartbeatAge;
 }
 
 void Daemon::refreshMembers()
 {
     std::vector<std::string> members { m_settings.node };
-    const auto& known = m_peers.membership();
-    for (const auto& [node, view] : known.members) {
-        if (membership::phase(known, view, m_clock.now()) == membership::Phase::Live)
+    const auto& membershipState = m_peers.membership();
+    for (const auto& [node, view] : membershipState.members) {
+        if (membership::phase(membershipState, view, m_clock.now()) == membership::Phase::Live)
             members.push_back(node);
     }
     m_controllers.setMembers(std::move(members));
@@ -278,15 +282,15 @@
             pool.queued += load.queued;
         }
     };
-    add(heartbeat().loads);
+    add(makeHeartbeat().loads);
     for (const auto& [node, view] : m_peers.views()) {
-        if (m_clock.now() - view.lastHeard <= memberLimit)
+        if (m_clock.now() - view.lastHeard <= maxHeartbeatAge)
             add(view.heartbeat.loads);
     }
     m_controllers.setDemand(std::move(demand));
 }
 
-void Daemon::refreshList()
+void Daemon::refreshFleetView()
 {
     m_platform->listVms([this](PlatformResult<std::vector<ListedVm>> result) {
         if (result) {
@@ -297,7 +301,7 @@
             }
             m_peers.setPeers(peers);
             m_controllers.setListed(*result);
-            m_entry.setListed(*result);
+            m_entryProxy.setListedVms(*result);
         }
     });
     refreshMembers();
@@ -306,75 +310,76 @@
 
 void Daemon::beginStop()
 {
-    if (m_stopping)
+    if (m_isStopping)
         return;
-    m_stopping = true;
-    logEvent(LogLevel::Info, "stop_begun", { { "in_flight", std::to_string(m_entry.pending()) } });
+    m_isStopping = true;
+    logEvent(
+        LogLevel::Info, "stop_begun", { { "in_flight", std::to_string(m_entryProxy.pendingRequests()) } });
     m_stopDeadline = m_clock.now() + m_settings.stopTimeout;
-    m_releaseDeadline = m_clock.now() + releaseLimit;
-    announceLeaving();
+    m_releaseDeadline = m_clock.now() + releaseTimeout;
+    withdrawFromBalancer();
     m_callerServer.startDraining();
     m_peers.hint();
     m_controllers.stop();
-    m_stopTimer.startOnce(balancerNotice);
+    m_stopTimer.startOnce(balancerUpdateDelay);
 }
 
-void Daemon::announceLeaving()
+void Daemon::withdrawFromBalancer()
 {
-    m_announcing = true;
+    m_isWithdrawing = true;
     m_platform->announceEntry(m_settings.node, false, [this](const PlatformResult<bool>& result) {
-        m_announcing = false;
-        m_announced = result.has_value();
+        m_isWithdrawing = false;
+        m_hasWithdrawn = result.has_value();
     });
 }
 
-/// Whether requests, leases or records of keys are still to be finished.
-bool Daemon::isBusy(TimePoint now) const
+bool Daemon::hasUnfinishedWork(TimePoint now) const
 {
-    if (m_entry.pending() > 0 || m_callerServer.isSending())
+    if (m_entryProxy.pendingRequests() > 0 || m_callerServer.isSending())
         return true;
-    // Leases and records that can't be written, for example without the table, are left as they are:
-    // leases expire, and the keys' claims refuse repeats.
-    const bool isReleasing = !m_controllers.isStopped() || m_keyed.unrecorded() > 0;
+    // After the release deadline, for example without the table, the stop gives these writes up. The leases
+    // expire, and repeats of requests whose claims have no outcome are refused.
+    const bool isReleasing = !m_controllers.isStopped() || m_keyClaims.pendingWrites() > 0;
     return isReleasing && now < m_releaseDeadline;
 }
 
 void Daemon::continueStop()
 {
-    m_entry.stop();
+    m_entryProxy.stop();
     const auto now = m_clock.now();
-    if (!m_announced && !m_announcing)
-        announceLeaving();
-    if (isBusy(now) && now < m_stopDeadline) {
-        m_lingerUntil.reset();
+    if (!m_hasWithdrawn && !m_isWithdrawing)
+        withdrawFromBalancer();
+    if (hasUnfinishedWork(now) && now < m_stopDeadline) {
+        m_lingerDeadline.reset();
         m_stopTimer.startOnce(stopCheckPeriod);
         return;
     }
-    // Callers on kept connections get answers that end them, until those are closed.
-    if (!m_lingerUntil)
-        m_lingerUntil = now + connectionLinger;
-    if (now >= *m_lingerUntil) {
+    // Requests on keep-alive connections are refused with a reply that closes the connection. What is idle
+    // after the linger time is closed.
+    if (!m_lingerDeadline)
+        m_lingerDeadline = now + connectionLingerTime;
+    if (now >= *m_lingerDeadline) {
         m_callerServer.stopAccepting();
         m_callerServer.closeIdle();
     }
-    if ((now < *m_lingerUntil || m_callerServer.connections() > 0)
-        && now < *m_lingerUntil + connectionLinger) {
+    if ((now < *m_lingerDeadline || m_callerServer.connections() > 0)
+        && now < *m_lingerDeadline + connectionLingerTime) {
         m_stopTimer.startOnce(stopCheckPeriod);
         return;
     }
-    m_cutRequests = m_entry.pending() > 0;
-    m_watches.closeAll();
+    m_hasCutRequests = m_entryProxy.pendingRequests() > 0;
+    m_watchHub.closeAll();
     m_loop.stop();
 }
 
 void Daemon::refreshGauges()
 {
-    m_entry.refreshGauges();
-    m_metrics.gauge("damask_requests_pending", static_cast<double>(m_entry.pending()));
-    m_metrics.gauge("damask_watch_streams", static_cast<double>(m_watches.streams()));
+    m_entryProxy.refreshGauges();
+    m_metrics.gauge("damask_requests_pending", static_cast<double>(m_entryProxy.pendingRequests()));
+    m_metrics.gauge("damask_watch_streams", static_cast<double>(m_watchHub.streamCount()));
     m_metrics.gauge("damask_table_version", static_cast<double>(m_mirror.version()));
     m_metrics.gauge(
-        "damask_configuration_generation", static_cast<double>(m_entry.configurationGeneration()));
+        "damask_configuration_generation", static_cast<double>(m_entryProxy.configurationGeneration()));
     m_metrics.gauge("damask_peers", static_cast<double>(m_peers.views().size()));
     m_metrics.gauge("damask_http_refused_requests", static_cast<double>(m_callerServer.refusedRequests()));
 }
--- a/src/damaskd/daemon_settings.cpp
+++ b/src/damaskd/daemon_settings.cpp
@@ -21,19 +21,20 @@
 ABSL_FLAG(
     int, snapshot_period_ms, 60000, "Milliseconds between snapshots in the object store, 100 to 3600000.");
 ABSL_FLAG(std::string, platform, "", "ip:port of the platform's service.");
-ABSL_FLAG(std::string, platform_adapter, "http", "Plug-in that speaks to the platform.");
-ABSL_FLAG(int, platform_timeout_ms, 2000, "Milliseconds to wait for an answer of the platform, 10 to 60000.");
+ABSL_FLAG(std::string, platform_adapter, "http", "Platform adapter plug-in.");
+ABSL_FLAG(
+    int, platform_timeout_ms, 2000, "Milliseconds to wait for a response of the platform, 10 to 60000.");
 ABSL_FLAG(int, poll_period_ms, 1000, "Milliseconds between polls of the table, 10 to 5000.");
 ABSL_FLAG(int, lease_ms, 6000,
-    "Milliseconds after which an unrenewed controller lease expires, 300 to 600000; "
+    "Milliseconds after which a controller lease expires unless it is renewed, 300 to 600000; "
     "the same on every node.");
 ABSL_FLAG(
     int, report_period_ms, 1000, "Milliseconds between reads of the reports on VMs and tasks, 10 to 60000.");
 ABSL_FLAG(int, stop_timeout_ms, 30000,
-    "Milliseconds that a planned stop waits for requests in flight, 0 to 600000.");
-ABSL_FLAG(std::string, trace_exporter, "", "Trace exporter plug-in; empty switches traces off.");
+    "Milliseconds that a graceful stop waits for requests in flight, 0 to 600000.");
+ABSL_FLAG(std::string, trace_exporter, "", "Trace exporter plug-in; empty disables tracing.");
 ABSL_FLAG(std::string, trace_target, "", "File or ip:port that the trace exporter writes to.");
-ABSL_FLAG(std::string, log_level, "info", "Lowest level that is logged: debug, info, warning or error.");
+ABSL_FLAG(std::string, log_level, "info", "Lowest severity that is logged: debug, info, warning or error.");
 
 namespace damask::daemon_settings {
 namespace {
@@ -56,7 +57,7 @@
 {
     if (value.empty() || value.size() > 63
         || value.find_first_not_of("abcdefghijklmnopqrstuvwxyz0123456789-") != std::string::npos)
-        errors.push_back({ std::string(setting), value, "1 to 63 of a-z, 0-9 and '-'" });
+        errors.push_back({ std::string(setting), value, "1 to 63 characters from a-z, 0-9 and '-'" });
     return value;
 }
 
@@ -97,7 +98,7 @@
     return settings::help(
         "damaskd: the daemon of damaskworks. Serves callers, operators and peers on one entry VM.\n\n"
         "Usage: damaskd --node=NAME --data_centre=NAME --platform=IP:PORT [settings]\n"
-        "       damaskd --print_settings    print the settings in force and exit",
+        "       damaskd --print_settings    print the effective settings and exit",
         "DAMASKD_", settingNames);
 }
 
--- a/src/damaskd/entry.cpp
+++ b/src/damaskd/entry.cpp
@@ -11,11 +11,14 @@
 constexpr std::string_view timeoutHeader = "Damask-Timeout-Ms";
 constexpr std::string_view outcomeHeader = "Damask-Outcome";
 constexpr std::string_view keyHeader = "Idempotency-Key";
-/// Names the caller, for fairness between the callers of a pool; without it callers count as one.
+/// Identifies the caller, so that a pool serves its callers fairly. Requests without it count as one
+/// caller's.
 constexpr std::string_view callerHeader = "Damask-Caller";
 constexpr std::int64_t maxCallerTimeoutMs = 600'000;
+/// Timeout of a request whose pool is unknown.
+constexpr std::chrono::seconds defaultRequestTimeout { 10 };
 
-int statusFor(request::Outcome outcome, request::Reason reason)
+int httpStatusFor(request::Outcome outcome, request::Reason reason)
 {
     if (outcome == request::Outcome::Unknown)
         return 502;
@@ -26,6 +29,7 @@
     return 503;
 }
 
+/// The timeout that the caller has set; nothing if there is none, -1 ms if the header is invalid.
 std::optional<std::chrono::milliseconds> callerTimeout(const HttpHeaders& headers)
 {
     const auto text = http::header(headers, timeoutHeader);
@@ -43,31 +47,32 @@
     return method == "GET" || method == "HEAD" || method == "OPTIONS";
 }
 
-bool saysNotRun(const HttpResponse& response)
+/// Whether the endpoint declined the request without running any part of it.
+bool isNotRunResponse(const HttpResponse& response)
 {
     return response.status == 503 && http::header(response.headers, outcomeHeader) == "not-run";
 }
 
 } // namespace
 
-Entry::Entry(event_base* base, const Clock& clock, Metrics& metrics, TraceExporter* exporter,
-    KeyedRequests& keyed, Freshness& freshness, std::string dataCentre, std::uint64_t seed)
+EntryProxy::EntryProxy(event_base* base, const Clock& clock, Metrics& metrics, TraceExporter* traceExporter,
+    KeyClaims& keyClaims, FreshnessGuard& freshnessGuard, std::string dataCentre, std::uint64_t seed)
     : m_clock(clock)
     , m_metrics(metrics)
-    , m_exporter(exporter)
-    , m_keyed(keyed)
-    , m_freshness(freshness)
+    , m_traceExporter(traceExporter)
+    , m_keyClaims(keyClaims)
+    , m_freshnessGuard(freshnessGuard)
     , m_dataCentre(std::move(dataCentre))
     , m_random(seed)
     , m_client(base, HttpLimits {})
-    , m_tick(base, [this] { tick(); })
-    , m_notStartedTimer(base, [this] { reportNotStarted(); })
-    , m_declineEnd(base, [this] { publishPools(); })
+    , m_tickTimer(base, [this] { tick(); })
+    , m_unsentTimer(base, [this] { reportUnsentAttempts(); })
+    , m_declineTimer(base, [this] { sendPoolsToKernel(); })
 {
     m_state.random.seed(seed);
 }
 
-void Entry::serve(std::shared_ptr<HttpExchange> exchange)
+void EntryProxy::serve(std::shared_ptr<HttpExchange> exchange)
 {
     const auto& message = exchange->request();
     const auto timeout = callerTimeout(message.headers);
@@ -85,12 +90,12 @@
         return;
     }
     const auto now = m_clock.now();
-    Active active;
+    ActiveRequest active;
     active.exchange = exchange;
-    active.arrived = now;
+    active.arrivedAt = now;
     const auto* route = findRoute(message.path);
     active.pool = route ? route->pool : "";
-    if (m_exporter) {
+    if (m_traceExporter) {
         std::optional<TraceContext> parent;
         if (auto header = http::header(message.headers, "traceparent"))
             parent = trace::parse(*header);
@@ -99,111 +104,112 @@
         active.span.name = "entry.request";
         active.span.start = m_clock.wallNow();
     }
-    auto& event = active.event;
-    event.pool = active.pool;
-    Duration limit = std::chrono::seconds(10);
+    auto& arrival = active.arrival;
+    arrival.pool = active.pool;
+    Duration poolTimeout = defaultRequestTimeout;
     if (auto found = m_state.pools.find(active.pool); found != m_state.pools.end())
-        limit = found->second.settings.requestTimeout;
-    event.deadline = now + (timeout ? std::min<Duration>(*timeout, limit) : limit);
-    event.idempotent = isSafeMethod(message.method) || (route && route->idempotent);
-    event.urgent = route && route->urgent;
-    event.callerId = std::string(http::header(message.headers, callerHeader).value_or(""));
+        poolTimeout = found->second.settings.requestTimeout;
+    arrival.deadline = now + (timeout ? std::min<Duration>(*timeout, poolTimeout) : poolTimeout);
+    arrival.idempotent = isSafeMethod(message.method) || (route && route->idempotent);
+    arrival.urgent = route && route->urgent;
+    arrival.callerId = std::string(http::header(message.headers, callerHeader).value_or(""));
     m_metrics.count("damask_requests_total");
-    if (!m_freshness.isFresh())
+    if (!m_freshnessGuard.isFresh())
         return refuse(active, request::Reason::ConfigurationStale);
-    if (key && route && !event.idempotent && !m_state.stopping)
+    if (key && route && !arrival.idempotent && !m_state.stopping)
         return claimKey(std::move(active), *key);
     admit(std::move(active));
 }
 
-void Entry::admit(Active active)
+void EntryProxy::admit(ActiveRequest active)
 {
-    const auto id = m_nextId++;
-    active.event.id = id;
+    const auto id = m_nextRequestId++;
+    active.arrival.id = id;
     active.exchange->onCallerGone([this, id] { handle(request::CallerGone { id }); });
-    const auto event = active.event;
-    m_active.emplace(id, std::move(active));
-    handle(event);
+    const auto arrival = active.arrival;
+    m_activeRequests.emplace(id, std::move(active));
+    handle(arrival);
 }
 
-void Entry::claimKey(Active active, std::string_view key)
+void EntryProxy::claimKey(ActiveRequest active, std::string_view key)
 {
-    const auto claiming = m_nextClaiming++;
-    active.exchange->onCallerGone([this, claiming] { m_claiming.at(claiming).exchange = nullptr; });
+    const auto claimId = m_nextClaimId++;
+    active.exchange->onCallerGone([this, claimId] { m_awaitingClaim.at(claimId).exchange = nullptr; });
     const auto& request = active.exchange->request();
     const auto pool = active.pool;
-    const std::string ownKey(key);
-    m_claiming.emplace(claiming, std::move(active));
-    m_keyed.claim(pool, ownKey, request,
-        [this, claiming](ClaimResult result) { keyClaimed(claiming, std::move(result)); });
+    const std::string keyCopy(key);
+    m_awaitingClaim.emplace(claimId, std::move(active));
+    m_keyClaims.claim(pool, keyCopy, request,
+        [this, claimId](ClaimResult result) { onClaimResult(claimId, std::move(result)); });
 }
 
-void Entry::keyClaimed(std::uint64_t claiming, ClaimResult result)
+void EntryProxy::onClaimResult(std::uint64_t claimId, ClaimResult result)
 {
-    auto node = m_claiming.extract(claiming);
+    auto node = m_awaitingClaim.extract(claimId);
     auto& active = node.mapped();
-    const bool held = result.kind == ClaimResult::Kind::Held;
-    if (!active.exchange) { // the caller has gone
-        if (held)
-            m_keyed.release(std::move(result.held));
+    const bool isAcquired = result.kind == ClaimResult::Kind::Acquired;
+    if (!active.exchange) { // the caller has disconnected
+        if (isAcquired)
+            m_keyClaims.release(std::move(result.held));
         return;
     }
-    if (!held)
-        return refuseKey(active, result);
+    if (!isAcquired)
+        return answerUnclaimed(active, result);
     active.claim = std::move(result.held);
     admit(std::move(active));
 }
 
-void Entry::refuseKey(Active& active, const ClaimResult& result)
+void EntryProxy::answerUnclaimed(ActiveRequest& active, const ClaimResult& result)
 {
     using idempotency::Verdict;
-    const bool repeat = result.kind == ClaimResult::Kind::Claimed;
+    const bool isRepeat = result.kind == ClaimResult::Kind::AlreadyClaimed;
     m_metrics.count("damask_key_repeats_total{verdict=\""
-        + std::string(repeat ? nameOf(idempotency::verdictNames, result.verdict) : "key_unverifiable")
+        + std::string(isRepeat ? nameOf(idempotency::verdictNames, result.decision) : "key_unverifiable")
         + "\"}");
-    if (!repeat)
+    if (!isRepeat)
         return refuse(active, request::Reason::KeyUnverifiable);
-    if (result.verdict == Verdict::Replay) {
-        HttpResponse response { result.answer->status, result.answer->headers, result.answer->body };
+    if (result.decision == Verdict::Replay) {
+        HttpResponse response { result.storedResponse->status, result.storedResponse->headers,
+            result.storedResponse->body };
         response.headers.emplace_back("Idempotency-Replayed", "true");
         finishSpan(active.span, "replayed");
         return active.exchange->reply(std::move(response));
     }
-    if (result.verdict == Verdict::InUse)
+    if (result.decision == Verdict::InUse)
         return refuse(active, request::Reason::KeyInUse);
-    if (result.verdict == Verdict::OutcomeUnknown)
+    if (result.decision == Verdict::OutcomeUnknown)
         return refuse(active, request::Reason::KeyOutcomeUnknown);
-    const auto reason = nameOf(idempotency::verdictNames, result.verdict);
+    const auto reason = nameOf(idempotency::verdictNames, result.decision);
     const nlohmann::json body = { { "outcome", "not-run" }, { "reason", reason } };
     finishSpan(active.span, reason);
-    active.exchange->reply({ result.verdict == Verdict::OtherRequest ? 422 : 409,
+    active.exchange->reply({ result.decision == Verdict::OtherRequest ? 422 : 409,
         { { "Content-Type", "application/json" }, { std::string(outcomeHeader), "not-run" } },
         body.dump() + "\n" });
 }
 
-void Entry::refuse(Active& active, request::Reason reason)
+void EntryProxy::refuse(ActiveRequest& active, request::Reason reason)
 {
     const std::chrono::seconds retryAfter(reason == request::Reason::KeyOutcomeUnknown ? 0 : 1);
     const request::Reply reply { 0, request::Outcome::NotRun, reason, retryAfter };
-    answer(active, reply);
+    sendReply(active, reply);
     m_metrics.count("damask_answers_total{pool=\"" + active.pool + "\",outcome=\"not-run\"}");
     finishSpan(active.span, "not-run");
 }
 
-void Entry::settleKey(Active& active, const request::Reply& reply)
+void EntryProxy::recordOutcome(ActiveRequest& active, const request::Reply& reply)
 {
     if (!active.claim)
         return;
     if (reply.outcome == request::Outcome::Done)
-        m_keyed.finish(std::move(*active.claim), active.response);
+        m_keyClaims.recordDone(std::move(*active.claim), active.response);
     else if (reply.outcome == request::Outcome::NotRun)
-        m_keyed.release(std::move(*active.claim));
+        m_keyClaims.release(std::move(*active.claim));
     else
-        m_keyed.finishUnknown(std::move(*active.claim));
+        m_keyClaims.recordUnknown(std::move(*active.claim));
     active.claim.reset();
 }
 
-const Entry::Route* Entry::findRoute(std::string_view path) const
+const EntryProxy::Route* EntryProxy::findRoute(std::string_view path) const
 {
     for (const auto& route : m_routes) {
         if (path.starts_with(route.prefix))
@@ -212,40 +218,40 @@
     return nullptr;
 }
 
-void Entry::handle(const request::Event& event)
+void EntryProxy::handle(const request::Event& event)
 {
     for (const auto& action : request::decide(m_state, event, m_clock.now()))
         std::visit([this](const auto& typed) { carryOut(typed); }, action);
-    if (const auto* gone = std::get_if<request::CallerGone>(&event)) {
-        // A request that was sent may have run, whoever still waits for it.
-        if (auto found = m_active.find(gone->id); found != m_active.end()) {
-            const bool sent = found->second.wasSent;
-            settleKey(found->second,
-                { gone->id, sent ? request::Outcome::Unknown : request::Outcome::NotRun,
+    if (const auto* disconnected = std::get_if<request::CallerGone>(&event)) {
+        // A request that was sent may have run although its caller has disconnected.
+        if (auto found = m_activeRequests.find(disconnected->id); found != m_activeRequests.end()) {
+            const bool mayHaveRun = found->second.mayHaveBeenSent;
+            recordOutcome(found->second,
+                { disconnected->id, mayHaveRun ? request::Outcome::Unknown : request::Outcome::NotRun,
                     request::Reason::None, {} });
-            m_active.erase(found);
+            m_activeRequests.erase(found);
         }
     }
     scheduleTick();
 }
 
-void Entry::carryOut(const request::Dispatch& action)
+void EntryProxy::carryOut(const request::Dispatch& action)
 {
-    auto found = m_active.find(action.id);
-    if (found == m_active.end())
+    auto found = m_activeRequests.find(action.id);
+    if (found == m_activeRequests.end())
         return;
     auto& active = found->second;
-    if (!m_freshness.isFresh()) {
-        // The list of endpoints may be out of date: nothing is sent by it.
-        m_notStarted.push_back({ action.id, action.attempt });
-        m_notStartedTimer.startOnce(std::chrono::microseconds(0));
+    if (!m_freshnessGuard.isFresh()) {
+        // The endpoint list may be out of date, so the attempt is not sent.
+        m_unsentAttempts.push_back({ action.id, action.attempt });
+        m_unsentTimer.startOnce(std::chrono::microseconds(0));
         return;
     }
-    active.wasSent = true;
+    active.mayHaveBeenSent = true;
     active.endpoint = action.endpoint;
     HttpRequest forwarded = active.exchange->request();
     std::erase_if(forwarded.headers, [](const auto& header) { return http::isHopByHop(header.first); });
-    if (m_exporter) {
+    if (m_traceExporter) {
         std::erase_if(forwarded.headers,
             [](const auto& header) { return http::header({ header }, "traceparent").has_value(); });
         active.attemptSpan = Span { trace::child(active.span.context, m_random), active.span.context.spanId,
@@ -253,61 +259,61 @@
         forwarded.headers.emplace_back("traceparent", trace::format(active.attemptSpan.context));
     }
     const auto timeout = std::chrono::ceil<std::chrono::milliseconds>(action.timeout);
-    active.attempt = m_client.send(m_addresses[action.endpoint], forwarded, timeout,
+    active.httpAttempt = m_client.send(m_endpointAddresses[action.endpoint], forwarded, timeout,
         [this, id = action.id, attempt = action.attempt](
-            HttpResult result) { attemptEnded(id, attempt, std::move(result)); });
+            HttpResult result) { onAttemptEnded(id, attempt, std::move(result)); });
     m_metrics.count("damask_attempts_total");
 }
 
-void Entry::attemptEnded(request::RequestId id, std::uint32_t attempt, HttpResult result)
+void EntryProxy::onAttemptEnded(request::RequestId id, std::uint32_t attempt, HttpResult result)
 {
-    auto found = m_active.find(id);
-    if (found == m_active.end())
+    auto found = m_activeRequests.find(id);
+    if (found == m_activeRequests.end())
         return;
     auto& active = found->second;
-    active.attempt = 0;
+    active.httpAttempt = 0;
     request::AttemptEnded event { id };
     event.attempt = attempt;
     const auto endpoint = active.endpoint;
     event.serverError = result && result->status >= 500;
-    if (result && !saysNotRun(*result)) {
+    if (result && !isNotRunResponse(*result)) {
         event.result = request::AttemptEnded::Result::Answered;
         active.response = std::move(*result);
     } else if (result || !result.error().bytesSent) {
         event.result = request::AttemptEnded::Result::NotStarted;
-        active.wasSent = false;
+        active.mayHaveBeenSent = false;
     } else {
         event.result = request::AttemptEnded::Result::Failed;
     }
     finishSpan(active.attemptSpan, result ? std::to_string(active.response.status) : "failed");
     if (result && event.result == request::AttemptEnded::Result::NotStarted)
-        declined(endpoint);
+        onEndpointDeclined(endpoint);
     handle(event);
 }
 
-void Entry::carryOut(const request::Reply& action)
+void EntryProxy::carryOut(const request::Reply& action)
 {
-    auto found = m_active.find(action.id);
-    if (found == m_active.end())
+    auto found = m_activeRequests.find(action.id);
+    if (found == m_activeRequests.end())
         return;
     auto active = std::move(found->second);
-    m_active.erase(found);
+    m_activeRequests.erase(found);
     if (action.outcome == request::Outcome::Done)
         std::erase_if(active.response.headers, [](const auto& header) {
             return http::isHopByHop(header.first) || http::header({ header }, outcomeHeader);
         });
     if (action.outcome == request::Outcome::Done)
         active.response.headers.emplace_back(outcomeHeader, "done");
-    settleKey(active, action);
-    answer(active, action);
+    recordOutcome(active, action);
+    sendReply(active, action);
     const std::string labels = "{pool=\"" + active.pool + "\",outcome=\""
         + std::string(nameOf(request::outcomeNames, action.outcome)) + "\"}";
     m_metrics.count("damask_answers_total" + labels);
-    m_metrics.observe("damask_request_seconds", m_clock.now() - active.arrived);
+    m_metrics.observe("damask_request_seconds", m_clock.now() - active.arrivedAt);
     finishSpan(active.span, nameOf(request::outcomeNames, action.outcome));
 }
 
-void Entry::answer(Active& active, const request::Reply& reply)
+void EntryProxy::sendReply(ActiveRequest& active, const request::Reply& reply)
 {
     if (reply.outcome == request::Outcome::Done) {
         active.exchange->reply(std::move(active.response));
@@ -316,7 +322,7 @@
     const auto outcome = nameOf(request::outcomeNames, reply.outcome);
     const nlohmann::json body
         = { { "outcome", outcome }, { "reason", nameOf(request::reasonNames, reply.reason) } };
-    HttpResponse response { statusFor(reply.outcome, reply.reason),
+    HttpResponse response { httpStatusFor(reply.outcome, reply.reason),
         { { "Content-Type", "application/json" }, { std::string(outcomeHeader), std::string(outcome) } },
         body.dump() + "\n" };
     if (reply.retryAfter.count() > 0)
@@ -324,17 +330,17 @@
     active.exchange->reply(std::move(response));
 }
 
-void Entry::carryOut(const request::Abandon& action)
+void EntryProxy::carryOut(const request::Abandon& action)
 {
-    auto found = m_active.find(action.id);
-    if (found != m_active.end() && found->second.attempt)
-        m_client.cancel(found->second.attempt);
+    auto found = m_activeRequests.find(action.id);
+    if (found != m_activeRequests.end() && found->second.httpAttempt)
+        m_client.cancel(found->second.httpAttempt);
 }
 
-void Entry::reportNotStarted()
+void EntryProxy::reportUnsentAttempts()
 {
-    auto attempts = std::move(m_notStarted);
-    m_notStarted.clear();
+    auto attempts = std::move(m_unsentAttempts);
+    m_unsentAttempts.clear();
     for (const auto& [id, attempt] : attempts) {
         request::AttemptEnded event { id };
         event.attempt = attempt;
@@ -343,30 +349,31 @@
     }
 }
 
-void Entry::tick()
+void EntryProxy::tick()
 {
-    m_tickAt = TimePoint::max();
+    m_nextTickAt = TimePoint::max();
     handle(request::Tick {});
 }
 
-void Entry::scheduleTick()
+void EntryProxy::scheduleTick()
 {
     const auto deadline = request::nextDeadline(m_state);
-    // A tick that comes too early finds nothing to do and is set anew, so it is only moved forward.
-    if (deadline >= m_tickAt)
+    // The timer is only ever moved to an earlier time: a tick that fires too early has no effect and is
+    // rescheduled.
+    if (deadline >= m_nextTickAt)
         return;
-    m_tickAt = deadline;
+    m_nextTickAt = deadline;
     const auto delay = std::max<Duration>(deadline - m_clock.now(), std::chrono::milliseconds(1));
-    m_tick.startOnce(std::chrono::ceil<std::chrono::microseconds>(delay));
+    m_tickTimer.startOnce(std::chrono::ceil<std::chrono::microseconds>(delay));
 }
 
-void Entry::finishSpan(Span& span, std::string_view outcome)
+void EntryProxy::finishSpan(Span& span, std::string_view outcome)
 {
-    if (!m_exporter || span.name.empty())
+    if (!m_traceExporter || span.name.empty())
         return;
     span.end = m_clock.wallNow();
     span.attributes["outcome"] = std::string(outcome);
-    m_exporter->exportSpan(span);
+    m_traceExporter->exportSpan(span);
     span.name.clear();
 }
 
--- a/src/damaskd/entry_pools.cpp
+++ b/src/damaskd/entry_pools.cpp
@@ -1,4 +1,5 @@
-/// What an entry VM knows of pools, endpoints and other entry VMs, as it hands it to the request kernel.
+/// \file
+/// Builds the request kernel's view of pools, endpoints and other entry VMs.
 #include "entry_pvt.h"
 
 #include <damaskworks/log.h>
@@ -8,20 +9,20 @@
 namespace damask {
 namespace {
 
-/// Round trip between two data centres.
+/// Assumed additional round trip to an endpoint in another data centre.
 constexpr std::chrono::milliseconds remoteExtraLatency { 2 };
-/// Time for which an endpoint gets no work after it has said that it takes none.
-constexpr std::chrono::milliseconds declinePause { 1000 };
+/// Time for which an endpoint gets no requests after it has declined one.
+constexpr std::chrono::milliseconds declineBackoff { 1000 };
 
 } // namespace
 
-void Entry::update(const Catalogue& catalogue)
+void EntryProxy::applyCatalogue(const Catalogue& catalogue)
 {
     updateRoutes(catalogue);
     updatePools(catalogue);
 }
 
-void Entry::updateRoutes(const Catalogue& catalogue)
+void EntryProxy::updateRoutes(const Catalogue& catalogue)
 {
     const auto* configuration = catalogue.find(Kind::Configuration, currentConfiguration);
     if (!configuration || configuration->generation <= m_configurationGeneration)
@@ -37,54 +38,54 @@
         { { "generation", std::to_string(m_configurationGeneration) } });
 }
 
-void Entry::updatePools(const Catalogue& catalogue)
+void EntryProxy::updatePools(const Catalogue& catalogue)
 {
-    auto& changes = m_pools;
-    changes.clear();
+    auto& pools = m_declaredPools;
+    pools.clear();
     for (const auto* pool : catalogue.list(Kind::Pool)) {
-        auto& change = changes[pool->name];
-        change.pool = pool->name;
-        change.settings.queueLimit = pool->spec.value("queueLimit", 256u);
-        change.settings.slotsPerVm = pool->spec.value("slotsPerVm", 8u);
-        change.settings.requestTimeout
+        auto& declared = pools[pool->name];
+        declared.pool = pool->name;
+        declared.settings.queueLimit = pool->spec.value("queueLimit", 256u);
+        declared.settings.slotsPerVm = pool->spec.value("slotsPerVm", 8u);
+        declared.settings.requestTimeout
             = std::chrono::milliseconds(pool->spec.value("requestTimeoutMs", 10'000));
     }
     for (const auto* vm : catalogue.list(Kind::Vm)) {
         const auto pool = vm->status.value("pool", vm->spec.value("pool", ""));
-        auto found = changes.find(pool);
+        auto found = pools.find(pool);
         const auto address = http::parseAddress(vm->spec.value("address", ""));
-        if (found == changes.end() || !address)
+        if (found == pools.end() || !address)
             continue;
-        m_addresses[vm->name] = *address;
+        m_endpointAddresses[vm->name] = *address;
         const bool inService = vm->status.value("phase", "in_service") == "in_service";
         request::Endpoint endpoint { vm->name, found->second.settings.slotsPerVm, 0, inService };
         if (vm->spec.value("dataCentre", "") != m_dataCentre)
             endpoint.extraLatency = remoteExtraLatency;
         found->second.endpoints.push_back(std::move(endpoint));
     }
-    publishPools();
+    sendPoolsToKernel();
 }
 
-void Entry::publishPools()
+void EntryProxy::sendPoolsToKernel()
 {
-    auto changes = m_pools;
+    auto changes = m_declaredPools;
     for (auto& [name, change] : changes) {
         for (auto& endpoint : change.endpoints)
-            endpoint.accepting = endpoint.accepting && !isLeaving(endpoint.id);
+            endpoint.accepting = endpoint.accepting && !isUnavailable(endpoint.id);
         handle(change);
     }
 }
 
-bool Entry::isLeaving(const std::string& endpoint) const
+bool EntryProxy::isUnavailable(const std::string& endpoint) const
 {
     const auto declined = m_declinedUntil.find(endpoint);
     if (declined != m_declinedUntil.end() && m_clock.now() < declined->second)
         return true;
-    // The list lags: a VM that it has not shown yet may be new.
-    return m_everListed.contains(endpoint) && !m_live.contains(endpoint);
+    // The platform's list lags, so a VM that has never been listed may be new.
+    return m_everListed.contains(endpoint) && !m_liveVms.contains(endpoint);
 }
 
-void Entry::setListed(const std::vector<ListedVm>& listed)
+void EntryProxy::setListedVms(const std::vector<ListedVm>& listed)
 {
     std::set<std::string> live;
     for (const auto& vm : listed) {
@@ -92,30 +93,31 @@
         if (vm.state == ListedState::Live)
             live.insert(vm.id);
     }
-    if (live == m_live)
+    if (live == m_liveVms)
         return;
-    m_live = std::move(live);
-    publishPools();
+    m_liveVms = std::move(live);
+    sendPoolsToKernel();
 }
 
-void Entry::declined(const std::string& endpoint)
+void EntryProxy::onEndpointDeclined(const std::string& endpoint)
 {
     const auto now = m_clock.now();
     std::erase_if(m_declinedUntil, [now](const auto& entry) { return entry.second <= now; });
-    m_declinedUntil[endpoint] = now + declinePause;
-    m_declineEnd.startOnce(declinePause);
-    publishPools();
+    m_declinedUntil[endpoint] = now + declineBackoff;
+    m_declineTimer.startOnce(declineBackoff);
+    sendPoolsToKernel();
 }
 
-void Entry::setEntryVms(const std::string& self, const std::map<std::string, std::vector<PoolLoad>>& loads)
+void EntryProxy::setEntryVmLoads(
+    const std::string& self, const std::map<std::string, std::vector<PoolLoad>>& loads)
 {
     std::map<std::string, request::EntryVmsChanged> changes;
     for (const auto& [pool, state] : m_state.pools)
         changes[pool] = { pool, self, {} };
-    for (const auto& [node, ofNode] : loads) {
+    for (const auto& [node, nodeLoads] : loads) {
         for (auto& [pool, change] : changes)
             change.live.push_back({ node, 0 });
-        for (const auto& load : ofNode) {
+        for (const auto& load : nodeLoads) {
             if (auto found = changes.find(load.pool); found != changes.end())
                 found->second.live.back().demand = load.arrivals;
         }
@@ -124,7 +126,7 @@
         handle(change);
 }
 
-std::vector<PoolLoad> Entry::loads() const
+std::vector<PoolLoad> EntryProxy::poolLoads() const
 {
     std::vector<PoolLoad> out;
     for (const auto& [name, pool] : m_state.pools) {
@@ -134,9 +136,9 @@
     return out;
 }
 
-void Entry::refreshGauges()
+void EntryProxy::refreshGauges()
 {
-    m_metrics.gauge("damask_listed_vms", static_cast<double>(m_live.size()));
+    m_metrics.gauge("damask_listed_vms", static_cast<double>(m_liveVms.size()));
     for (const auto& [name, pool] : m_state.pools) {
         const std::string labels = "{pool=\"" + name + "\"}";
         const auto set = [this, &labels](std::string_view gauge, double value) {
@@ -152,6 +154,6 @@
     }
 }
 
-void Entry::stop() { handle(request::StopRequested {}); }
+void EntryProxy::stop() { handle(request::StopRequested {}); }
 
 } // namespace damask
--- a/src/damaskd/fleet_command.cpp
+++ b/src/damaskd/fleet_command.cpp
@@ -14,7 +14,7 @@
 
 ABSL_FLAG(std::string, deployment_adapter, "fleet", "Adapter plug-in for the platform of the deployment.");
 ABSL_FLAG(std::string, deployment_settings, "",
-    "Path of the platform's settings file; empty: where the platform says that it is.");
+    "Path of the platform's settings file; empty: the path that the platform provides.");
 ABSL_FLAG(int, metrics_port, 0, "Port for /metrics on the node's address, 0 to 65535; 0 serves none.");
 
 namespace damask {
@@ -29,7 +29,7 @@
 
 std::uint64_t randomSeed()
 {
-    // The kernel's generator rather than the processor's, so that a simulated run can be repeated.
+    // Uses the kernel's generator, not the processor's, so that a simulated run can be repeated.
     std::random_device device("/dev/urandom");
     return (static_cast<std::uint64_t>(device()) << 32) | device();
 }
@@ -38,8 +38,8 @@
 
 int runFleetCommand(std::span<char* const> arguments)
 {
-    auto read = settings::read(arguments, environmentPrefix, fleetSettings);
-    if (read.helpRequested) {
+    auto parsed = settings::read(arguments, environmentPrefix, fleetSettings);
+    if (parsed.helpRequested) {
         std::cout << settings::help("damaskd fleet [flags]", environmentPrefix, fleetSettings);
         return 0;
     }
@@ -48,13 +48,13 @@
     options.adapter = absl::GetFlag(FLAGS_deployment_adapter);
     const int port = absl::GetFlag(FLAGS_metrics_port);
     if (port < 0 || port > maxPort)
-        read.errors.push_back({ "metrics_port", std::to_string(port), "0 to 65535" });
+        parsed.errors.push_back({ "metrics_port", std::to_string(port), "0 to 65535" });
     const auto& plugins = Registry<fleet::AdapterPlugin>::instance();
     const auto* plugin = plugins.find(options.adapter);
     if (!plugin)
-        read.errors.push_back({ "deployment_adapter", options.adapter, plugins.names() });
-    if (!read.errors.empty()) {
-        for (const auto& error : read.errors)
+        parsed.errors.push_back({ "deployment_adapter", options.adapter, plugins.names() });
+    if (!parsed.errors.empty()) {
+        for (const auto& error : parsed.errors)
             std::cerr << settings::describe(error) << "\n";
         return exitUsage;
     }
--- a/src/damaskd/fleet_command_pvt.h
+++ b/src/damaskd/fleet_command_pvt.h
@@ -1,5 +1,5 @@
 /// \file
-/// The command `damaskd fleet`: an entry VM of a fleet whose platform has an adapter.
+/// The command `damaskd fleet`, which runs an entry VM on the platform that the deployment adapter serves.
 #pragma once
 
 #include <span>
@@ -9,7 +9,7 @@
 
 inline constexpr std::string_view fleetCommand = "fleet";
 
-/// Runs until a planned stop; returns the exit code. \p arguments are those after the command.
+/// Runs until a graceful stop; returns the process's exit code. \p arguments are those after the command.
 int runFleetCommand(std::span<char* const> arguments);
 
 } // namespace damask
--- a/src/damaskd/freshness_pvt.h
+++ b/src/damaskd/freshness_pvt.h
@@ -1,5 +1,5 @@
 /// \file
-/// Whether this process's view of the fleet may be acted on after it was frozen.
+/// Detects pauses of this process, after which its view of the fleet may be out of date.
 #pragma once
 
 #include <damaskworks/clock.h>
@@ -11,22 +11,23 @@
 
 namespace damask {
 
-/// Notices gaps in the running of the loop. After a gap nothing is fresh until a poll of the table
-/// that began after it has ended: with an answer, or by showing that the table can't be reached.
-class Freshness {
+/// Detects gaps in the execution of the event loop, for example after the process or its VM was
+/// suspended. After a gap the view is stale until a table poll that started after the gap has ended.
+/// A failed poll counts too: it shows that the table is unreachable.
+class FreshnessGuard {
 public:
-    Freshness(event_base* base, const Clock& clock, Metrics& metrics, Mirror& mirror);
-    /// Whether requests may be served by what is known.
+    FreshnessGuard(event_base* base, const Clock& clock, Metrics& metrics, Mirror& mirror);
+    /// Whether the view is fresh enough to serve requests. Also checks for a gap since the last call.
     bool isFresh();
 
 private:
     Metrics& m_metrics;
     const Clock& m_clock;
     Mirror& m_mirror;
-    Timer m_beat;
-    Timer m_applied; ///< fires when the rows of the poll have been taken over
-    TimePoint m_lastBeat;
-    std::optional<TimePoint> m_wokeAt;
+    Timer m_checkTimer;
+    Timer m_rowsAppliedTimer; ///< fires after the rows of the poll have been applied
+    TimePoint m_lastCheck;
+    std::optional<TimePoint> m_gapEndedAt; ///< set while the view is stale
 };
 
 } // namespace damask
--- a/src/damaskd/keyed_requests.cpp
+++ b/src/damaskd/keyed_requests.cpp
@@ -11,12 +11,13 @@
 
 using nlohmann::json;
 
-constexpr std::chrono::milliseconds retryPeriod { 500 };
-constexpr std::chrono::milliseconds sweepPeriod { 2000 };
+constexpr std::chrono::milliseconds retryDelay { 500 };
+constexpr std::chrono::milliseconds expiryPeriod { 2000 };
 constexpr std::size_t maxDeletionsPerCommit = 32;
-constexpr std::size_t maxWritesAtOnce = 16;
+constexpr std::size_t maxWritesPerRetry = 16;
 
-std::string hashOf(std::string_view text)
+/// XXH3 128-bit hash as 32 hexadecimal digits.
+std::string hexHash(std::string_view text)
 {
     const auto hash = XXH3_128bits(text.data(), text.size());
     std::array<char, 33> out {};
@@ -25,9 +26,10 @@
     return out.data();
 }
 
+/// Distinguishes requests that share a key. Headers are not compared.
 std::string fingerprintOf(const HttpRequest& request)
 {
-    return hashOf(request.method + " " + request.path + "?" + request.query + "\n" + request.body);
+    return hexHash(request.method + " " + request.path + "?" + request.query + "\n" + request.body);
 }
 
 json toJson(const idempotency::Claim& claim)
@@ -45,8 +47,8 @@
     return out;
 }
 
-/// Bodies may be any bytes, so a claim is kept as hexadecimal MessagePack text.
-std::string encode(const idempotency::Claim& claim)
+/// Encodes a claim as a JSON string of hexadecimal MessagePack, since response bodies may hold any bytes.
+std::string encodeClaim(const idempotency::Claim& claim)
 {
     static constexpr std::string_view digits = "0123456789abcdef";
     std::string text = "\"";
@@ -57,7 +59,8 @@
     return text + "\"";
 }
 
-std::optional<idempotency::Claim> decode(const std::string& text)
+/// Decodes the text of a claim's row; nothing if it is malformed.
+std::optional<idempotency::Claim> decodeClaim(const std::string& text)
 {
     std::vector<std::uint8_t> bytes;
     for (std::size_t at = 1; at + 2 < text.size(); at += 2)
@@ -80,155 +83,157 @@
     return claim;
 }
 
-std::optional<idempotency::KeptAnswer> keep(const HttpResponse& response)
+/// The response as stored for repeats; nothing if it exceeds idempotency::maxKeptAnswer.
+std::optional<idempotency::KeptAnswer> storableResponse(const HttpResponse& response)
 {
-    idempotency::KeptAnswer answer { response.status, response.headers, response.body };
-    std::size_t bytes = answer.body.size();
-    for (const auto& [name, value] : answer.headers)
+    idempotency::KeptAnswer stored { response.status, response.headers, response.body };
+    std::size_t bytes = stored.body.size();
+    for (const auto& [name, value] : stored.headers)
         bytes += name.size() + value.size();
-    return bytes <= idempotency::maxKeptAnswer ? std::optional(std::move(answer)) : std::nullopt;
+    return bytes <= idempotency::maxKeptAnswer ? std::optional(std::move(stored)) : std::nullopt;
 }
 
 } // namespace
 
-KeyedRequests::KeyedRequests(event_base* base, Store& store, const Clock& clock, Metrics& metrics,
-    std::string node, std::uint64_t incarnation, HolderLives holderLives)
+KeyClaims::KeyClaims(event_base* base, Store& store, const Clock& clock, Metrics& metrics, std::string node,
+    std::uint64_t incarnation, IsProcessLive isProcessLive)
     : m_store(store)
     , m_clock(clock)
     , m_metrics(metrics)
     , m_node(std::move(node))
     , m_incarnation(incarnation)
-    , m_holderLives(std::move(holderLives))
-    , m_retry(base, [this] { writeRecords(); })
-    , m_sweep(base, [this] { sweep(); })
-    , m_slice(incarnation)
+    , m_isProcessLive(std::move(isProcessLive))
+    , m_retryTimer(base, [this] { retryWrites(); })
+    , m_expiryTimer(base, [this] { deleteExpiredClaims(); })
+    , m_expirySlice(incarnation)
 {
-    m_sweep.startPeriodic(sweepPeriod);
+    m_expiryTimer.startPeriodic(expiryPeriod);
 }
 
-void KeyedRequests::claim(const std::string& pool, std::string_view key, const HttpRequest& request,
+void KeyClaims::claim(const std::string& pool, std::string_view key, const HttpRequest& request,
     std::function<void(ClaimResult)> callback)
 {
-    const auto rows = idempotency::claimRows(m_clock.wallNow(), hashOf(pool + "\n" + std::string(key)));
+    const auto rows = idempotency::claimRows(m_clock.wallNow(), hexHash(pool + "\n" + std::string(key)));
     HeldClaim held { rows[1], 0,
-        { m_node, m_incarnation, ++m_serial, fingerprintOf(request), idempotency::ClaimState::Running,
+        { m_node, m_incarnation, ++m_lastSerial, fingerprintOf(request), idempotency::ClaimState::Running,
             std::nullopt } };
     Transaction transaction;
     for (const auto& row : rows)
         transaction.conditions.push_back({ row, 0 });
-    transaction.writes.push_back({ held.row, encode(held.claim) });
+    transaction.writes.push_back({ held.row, encodeClaim(held.claim) });
     m_metrics.count("damask_key_claims_total");
     m_store.commit(
         std::move(transaction), [this, held, callback](PlatformResult<TableVersion> result) mutable {
             if (result) {
                 held.version = *result;
-                ClaimResult out { ClaimResult::Kind::Held };
+                ClaimResult out { ClaimResult::Kind::Acquired };
                 out.held = std::move(held);
                 return callback(std::move(out));
             }
             if (result.error().failure == PlatformFailure::Conflict)
-                return examine(held.claim.fingerprint, result.error(), callback);
-            // The claim may still be written: it is taken back, because its request will not run.
+                return readExistingClaim(held.claim.fingerprint, result.error(), callback);
+            // The claim may still commit. It is deleted, because its request will not run.
             if (result.error().failure == PlatformFailure::OutcomeUnknown)
-                takeBack(std::move(held));
+                deleteUnconfirmedClaim(std::move(held));
             callback({ ClaimResult::Kind::Unverifiable });
         });
 }
 
-void KeyedRequests::examine(
+void KeyClaims::readExistingClaim(
     const std::string& fingerprint, PlatformError conflict, const std::function<void(ClaimResult)>& callback)
 {
     m_store.platform().readRow(conflict.key, [this, fingerprint, callback](PlatformResult<Row> row) {
-        const auto claim = row ? decode(row->value) : std::nullopt;
+        const auto claim = row ? decodeClaim(row->value) : std::nullopt;
         if (!claim)
             return callback({ ClaimResult::Kind::Unverifiable });
-        ClaimResult out { ClaimResult::Kind::Claimed };
-        out.verdict = judge(*claim, fingerprint, m_holderLives(claim->node, claim->incarnation));
-        out.answer = claim->answer;
+        ClaimResult out { ClaimResult::Kind::AlreadyClaimed };
+        out.decision = judge(*claim, fingerprint, m_isProcessLive(claim->node, claim->incarnation));
+        out.storedResponse = claim->answer;
         callback(std::move(out));
     });
 }
 
-void KeyedRequests::takeBack(HeldClaim held)
+void KeyClaims::deleteUnconfirmedClaim(HeldClaim held)
 {
     m_store.platform().readRow(held.row, [this, held](const PlatformResult<Row>& row) mutable {
-        const auto claim = row ? decode(row->value) : std::nullopt;
-        const bool own = claim && claim->node == m_node && claim->incarnation == m_incarnation
+        const auto claim = row ? decodeClaim(row->value) : std::nullopt;
+        const bool isOwn = claim && claim->node == m_node && claim->incarnation == m_incarnation
             && claim->serial == held.claim.serial;
-        if (!own)
-            return; // if it is written later, repeats are refused until it expires
+        if (!isOwn)
+            return; // if it commits later, repeats are refused until it expires
         held.version = row->version;
         release(std::move(held));
     });
 }
 
-void KeyedRequests::finish(HeldClaim held, const HttpResponse& response)
+void KeyClaims::recordDone(HeldClaim held, const HttpResponse& response)
 {
     held.claim.state = idempotency::ClaimState::Done;
-    held.claim.answer = keep(response);
-    record(std::move(held), false);
+    held.claim.answer = storableResponse(response);
+    queueWrite(std::move(held), false);
 }
 
-void KeyedRequests::finishUnknown(HeldClaim held)
+void KeyClaims::recordUnknown(HeldClaim held)
 {
     held.claim.state = idempotency::ClaimState::Unknown;
-    record(std::move(held), false);
+    queueWrite(std::move(held), false);
 }
 
-void KeyedRequests::release(HeldClaim held) { record(std::move(held), true); }
+void KeyClaims::release(HeldClaim held) { queueWrite(std::move(held), true); }
 
-void KeyedRequests::record(HeldClaim held, bool remove)
+void KeyClaims::queueWrite(HeldClaim held, bool isDeletion)
 {
     const auto row = held.row;
-    m_unrecorded[row] = { std::move(held), remove, false };
+    m_pendingWrites[row] = { std::move(held), isDeletion, false };
     write(row);
 }
 
-void KeyedRequests::writeRecords()
+void KeyClaims::retryWrites()
 {
     std::vector<std::string> rows;
-    for (const auto& [row, record] : m_unrecorded) {
-        if (!record.writing && rows.size() < maxWritesAtOnce)
+    for (const auto& [row, pending] : m_pendingWrites) {
+        if (!pending.isInFlight && rows.size() < maxWritesPerRetry)
             rows.push_back(row);
     }
     for (const auto& row : rows)
         write(row);
 }
 
-void KeyedRequests::write(const std::string& row)
+void KeyClaims::write(const std::string& row)
 {
-    auto& record = m_unrecorded.at(row);
-    record.writing = true;
-    const auto& held = record.held;
+    auto& pending = m_pendingWrites.at(row);
+    pending.isInFlight = true;
+    const auto& held = pending.held;
     Transaction transaction;
     transaction.conditions.push_back({ row, held.version });
-    transaction.writes.push_back({ row, record.remove ? std::nullopt : std::optional(encode(held.claim)) });
+    transaction.writes.push_back(
+        { row, pending.isDeletion ? std::nullopt : std::optional(encodeClaim(held.claim)) });
     m_store.commit(std::move(transaction), [this, row](const PlatformResult<TableVersion>& result) {
-        auto found = m_unrecorded.find(row);
-        if (found == m_unrecorded.end())
+        auto found = m_pendingWrites.find(row);
+        if (found == m_pendingWrites.end())
             return;
-        found->second.writing = false;
-        // A conflict means that an earlier try took effect.
+        found->second.isInFlight = false;
+        // A conflict means that an earlier attempt has committed.
         if (result || result.error().failure == PlatformFailure::Conflict)
-            m_unrecorded.erase(found);
+            m_pendingWrites.erase(found);
         else
-            m_retry.startOnce(retryPeriod);
+            m_retryTimer.startOnce(retryDelay);
     });
 }
 
-void KeyedRequests::sweep()
+void KeyClaims::deleteExpiredClaims()
 {
-    const auto prefix = idempotency::expiredPrefix(m_clock.wallNow(), m_slice);
+    const auto prefix = idempotency::expiredPrefix(m_clock.wallNow(), m_expirySlice);
     m_store.platform().readRows(prefix, [this](const PlatformResult<Changes>& rows) {
         if (!rows)
             return;
         if (rows->rows.size() <= maxDeletionsPerCommit)
-            ++m_slice;
+            ++m_expirySlice;
         deleteRows(rows->rows);
     });
 }
 
-void KeyedRequests::deleteRows(const std::vector<Row>& rows)
+void KeyClaims::deleteRows(const std::vector<Row>& rows)
 {
     Transaction transaction;
     for (const auto& row : rows) {
--- a/src/damaskd/keyed_requests_pvt.h
+++ b/src/damaskd/keyed_requests_pvt.h
@@ -1,5 +1,5 @@
 /// \file
-/// Claims of idempotency keys in the platform's table.
+/// Claims of idempotency keys, held as rows of the platform's table.
 #pragma once
 
 #include <damaskworks/http.h>
@@ -22,53 +22,58 @@
 /// How an attempt to claim a key ended.
 struct ClaimResult {
     enum class Kind {
-        Held, ///< the request may be run
-        Claimed, ///< the key is claimed already: see verdict
-        Unverifiable, ///< the table can't be asked; the request must not be run
+        Acquired, ///< the request may be run; see `held`
+        AlreadyClaimed, ///< by an earlier request; see `decision`
+        Unverifiable, ///< the table gave no definite result; the request must not be run
     } kind
         = Kind::Unverifiable;
     HeldClaim held;
-    idempotency::Verdict verdict = idempotency::Verdict::InUse;
-    std::optional<idempotency::KeptAnswer> answer; ///< for Verdict::Replay
+    idempotency::Verdict decision = idempotency::Verdict::InUse; ///< on the repeat
+    std::optional<idempotency::KeptAnswer> storedResponse; ///< for Verdict::Replay
 };
 
-/// Claims keys before their requests are dispatched and records their outcomes. The caller's answer
-/// does not wait for the record: until it is written, the claim says Running, and a repeat is refused.
-class KeyedRequests {
+/// Claims keys before their requests are dispatched and records the outcomes in the claims. The reply to
+/// the caller does not wait for that write. Until it commits, the claim's state is Running and repeats of
+/// the request are refused.
+class KeyClaims {
 public:
-    /// Whether the node runs with this incarnation, as far as is known.
-    using HolderLives = std::function<bool(const std::string& node, std::uint64_t incarnation)>;
+    /// Whether the process with this node name and incarnation is known to be running.
+    using IsProcessLive = std::function<bool(const std::string& node, std::uint64_t incarnation)>;
 
-    KeyedRequests(event_base* base, Store& store, const Clock& clock, Metrics& metrics, std::string node,
-        std::uint64_t incarnation, HolderLives holderLives);
+    KeyClaims(event_base* base, Store& store, const Clock& clock, Metrics& metrics, std::string node,
+        std::uint64_t incarnation, IsProcessLive isProcessLive);
 
-    /// Claims \p key of \p pool for \p request.
+    /// Claims \p key within \p pool for \p request. \p callback is called once, with the result.
     void claim(const std::string& pool, std::string_view key, const HttpRequest& request,
         std::function<void(ClaimResult)> callback);
-    /// Records the answer.
-    void finish(HeldClaim held, const HttpResponse& response);
+    /// Records that the request is done, with its response if that is short enough to be stored.
+    void recordDone(HeldClaim held, const HttpResponse& response);
     /// Records that the request may have run.
-    void finishUnknown(HeldClaim held);
-    /// Gives the key free: the request did not run.
+    void recordUnknown(HeldClaim held);
+    /// Deletes the claim of a request that did not run, so that the key can be claimed again.
     void release(HeldClaim held);
-    /// Number of outcomes that are not recorded yet.
-    std::size_t unrecorded() const { return m_unrecorded.size(); }
+    /// Number of outcomes that are not in the table yet.
+    std::size_t pendingWrites() const { return m_pendingWrites.size(); }
 
 private:
-    struct Record {
+    /// An outcome that is not in the table yet.
+    struct PendingWrite {
         HeldClaim held;
-        bool remove = false;
-        bool writing = false;
+        bool isDeletion = false;
+        bool isInFlight = false;
     };
 
-    void examine(const std::string& fingerprint, PlatformError conflict,
+    /// Reads the claim that \p conflict names and decides on the repeat.
+    void readExistingClaim(const std::string& fingerprint, PlatformError conflict,
         const std::function<void(ClaimResult)>& callback);
-    /// Removes a claim whose write had no answer, if it is there.
-    void takeBack(HeldClaim held);
-    void record(HeldClaim held, bool remove);
-    void writeRecords();
+    /// Deletes a claim whose write had an unknown outcome, if the table has it.
+    void deleteUnconfirmedClaim(HeldClaim held);
+    void queueWrite(HeldClaim held, bool isDeletion);
+    void retryWrites();
+    /// Sends the pending write of \p row.
     void write(const std::string& row);
-    void sweep();
+    /// Deletes expired claims, one slice of the key space at a time.
+    void deleteExpiredClaims();
     void deleteRows(const std::vector<Row>& rows);
 
     Store& m_store;
@@ -76,12 +81,12 @@
     Metrics& m_metrics;
     std::string m_node;
     std::uint64_t m_incarnation;
-    HolderLives m_holderLives;
-    Timer m_retry;
-    Timer m_sweep;
-    std::uint64_t m_slice;
-    std::uint64_t m_serial = 0;
-    std::unordered_map<std::string, Record> m_unrecorded; ///< by row
+    IsProcessLive m_isProcessLive;
+    Timer m_retryTimer;
+    Timer m_expiryTimer;
+    std::uint64_t m_expirySlice; ///< slice of the next deletion
+    std::uint64_t m_lastSerial = 0;
+    std::unordered_map<std::string, PendingWrite> m_pendingWrites; ///< by row
 };
 
 } // namespace damask
--- a/src/damaskd/main.cpp
+++ b/src/damaskd/main.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The daemon of damaskworks.
+/// Entry point of damaskd: reads the settings and runs the daemon, or the command `damaskd fleet`.
 #include "daemon_pvt.h"
 #include "daemon_settings_pvt.h"
 #include "fleet_command_pvt.h"
@@ -16,6 +16,7 @@
 constexpr int exitFailure = 1;
 constexpr int exitUsage = 2;
 
+/// Prints one line for each error; returns the exit code.
 int reportErrors(const std::vector<damask::SettingError>& errors)
 {
     for (const auto& error : errors)
@@ -32,26 +33,26 @@
     if (argc > 1 && std::string_view(argv[1]) == fleetCommand)
         return runFleetCommand(std::span(argv, static_cast<std::size_t>(argc)).subspan(2));
     std::vector<char*> arguments;
-    bool printOnly = false;
+    bool printsSettings = false;
     for (int i = 1; i < argc; ++i) {
         if (std::string_view(argv[i]) == "--print_settings")
-            printOnly = true;
+            printsSettings = true;
         else
             arguments.push_back(argv[i]);
     }
-    auto read = settings::read(arguments, "DAMASKD_", daemon_settings::names());
-    if (read.helpRequested) {
+    auto parsed = settings::read(arguments, "DAMASKD_", daemon_settings::names());
+    if (parsed.helpRequested) {
         std::cout << daemon_settings::help();
         return exitOk;
     }
-    for (const auto& word : read.positional)
-        read.errors.push_back({ "argument", word, "no arguments besides flags" });
+    for (const auto& argument : parsed.positional)
+        parsed.errors.push_back({ "argument", argument, "only flags" });
     auto checked = daemon_settings::check();
     if (!checked)
-        read.errors.insert(read.errors.end(), checked.error().begin(), checked.error().end());
-    if (!read.errors.empty())
-        return reportErrors(read.errors);
-    if (printOnly) {
+        parsed.errors.insert(parsed.errors.end(), checked.error().begin(), checked.error().end());
+    if (!parsed.errors.empty())
+        return reportErrors(parsed.errors);
+    if (printsSettings) {
         std::cout << settings::print(daemon_settings::names());
         return exitOk;
     }
--- a/src/damaskd/watch.cpp
+++ b/src/damaskd/watch.cpp
@@ -8,7 +8,7 @@
 using nlohmann::json;
 
 constexpr std::chrono::seconds bookmarkPeriod { 5 };
-/// A stream whose reader is slower than this is ended; the reader resumes from its last version.
+/// A stream with more unsent bytes is ended. Its client can resume from the last version that it received.
 constexpr std::size_t maxUnsentBytes = 4 * 1024 * 1024;
 
 std::string eventLine(const Row& row, const resource::ParsedKey& key)
@@ -34,10 +34,10 @@
 WatchHub::WatchHub(event_base* base, Platform& platform, Mirror& mirror)
     : m_platform(platform)
     , m_mirror(mirror)
-    , m_bookmarks(base, [this] { sendBookmarks(); })
+    , m_bookmarkTimer(base, [this] { sendBookmarks(); })
 {
     m_mirror.addListener([this](const Row& row) { onChange(row); });
-    m_bookmarks.startPeriodic(bookmarkPeriod);
+    m_bookmarkTimer.startPeriodic(bookmarkPeriod);
 }
 
 void WatchHub::open(
@@ -47,51 +47,53 @@
     stream->exchange = exchange;
     stream->kinds = std::move(kinds);
     stream->since = since.value_or(m_mirror.version());
-    stream->sent = stream->since;
+    stream->lastSentVersion = stream->since;
     m_streams.push_back(stream);
     exchange->startStream(200, { { "Content-Type", "application/x-ndjson" } });
     std::weak_ptr<Stream> weak = stream;
     exchange->onCallerGone([this, weak] {
-        if (auto gone = weak.lock())
-            m_streams.remove(gone);
+        if (auto closed = weak.lock())
+            m_streams.remove(closed);
     });
-    const json hello = { { "type", "bookmark" }, { "version", stream->sent } };
-    exchange->sendChunk(hello.dump() + "\n");
+    const json firstBookmark = { { "type", "bookmark" }, { "version", stream->lastSentVersion } };
+    exchange->sendChunk(firstBookmark.dump() + "\n");
     if (since)
         replay(stream);
 }
 
 void WatchHub::replay(std::shared_ptr<Stream> stream)
 {
-    stream->replaying = true;
+    stream->isReplaying = true;
     std::weak_ptr<Stream> weak = stream;
-    m_platform.readChanges(resource::rowPrefix, stream->sent, [this, weak](PlatformResult<Changes> result) {
-        auto held = weak.lock();
-        if (!held)
-            return;
-        if (!result) {
-            const bool gone = result.error().failure == PlatformFailure::HistoryGone;
-            const json error = { { "type", "error" }, { "error", gone ? "history_gone" : "unavailable" } };
-            held->exchange->sendChunk(error.dump() + "\n");
-            held->exchange->endStream();
-            m_streams.remove(held);
-            return;
-        }
-        held->replaying = false;
-        for (const auto& row : result->rows)
-            send(*held, row);
-        auto live = std::move(held->held);
-        for (const auto& row : live)
-            send(*held, row);
-    });
+    m_platform.readChanges(
+        resource::rowPrefix, stream->lastSentVersion, [this, weak](PlatformResult<Changes> result) {
+            auto stream = weak.lock();
+            if (!stream)
+                return;
+            if (!result) {
+                const bool isHistoryGone = result.error().failure == PlatformFailure::HistoryGone;
+                const json error
+                    = { { "type", "error" }, { "error", isHistoryGone ? "history_gone" : "unavailable" } };
+                stream->exchange->sendChunk(error.dump() + "\n");
+                stream->exchange->endStream();
+                m_streams.remove(stream);
+                return;
+            }
+            stream->isReplaying = false;
+            for (const auto& row : result->rows)
+                send(*stream, row);
+            auto buffered = std::move(stream->bufferedRows);
+            for (const auto& row : buffered)
+                send(*stream, row);
+        });
 }
 
 void WatchHub::onChange(const Row& row)
 {
     const auto streams = m_streams;
     for (const auto& stream : streams) {
-        if (stream->replaying)
-            stream->held.push_back(row);
+        if (stream->isReplaying)
+            stream->bufferedRows.push_back(row);
         else
             send(*stream, row);
     }
@@ -100,14 +102,15 @@
 void WatchHub::send(Stream& stream, const Row& row)
 {
     const auto key = resource::parseKey(row.key);
-    if (!key || row.version <= stream.since || row.version < stream.sent || !stream.kinds.contains(key->kind))
+    if (!key || row.version <= stream.since || row.version < stream.lastSentVersion
+        || !stream.kinds.contains(key->kind))
         return;
-    // Rows of one commit share its version, so an equal version alone does not make a duplicate.
-    if (row.version > stream.sent)
-        stream.keysAtSent.clear();
-    if (!stream.keysAtSent.insert(row.key).second)
+    // All rows of one commit have its version, so the keys tell which of them were sent.
+    if (row.version > stream.lastSentVersion)
+        stream.keysSentAtVersion.clear();
+    if (!stream.keysSentAtVersion.insert(row.key).second)
         return;
-    stream.sent = row.version;
+    stream.lastSentVersion = row.version;
     stream.exchange->sendChunk(eventLine(row, *key));
 }
 
@@ -115,15 +118,15 @@
 {
     auto streams = m_streams;
     for (const auto& stream : streams) {
-        if (stream->replaying)
+        if (stream->isReplaying)
             continue;
         if (stream->exchange->unsentBytes() > maxUnsentBytes) {
             stream->exchange->endStream();
             m_streams.remove(stream);
             continue;
         }
-        const json bookmark
-            = { { "type", "bookmark" }, { "version", std::max(stream->sent, m_mirror.version()) } };
+        const json bookmark = { { "type", "bookmark" },
+            { "version", std::max(stream->lastSentVersion, m_mirror.version()) } };
         stream->exchange->sendChunk(bookmark.dump() + "\n");
     }
 }
--- a/src/damaskd/watch_pvt.h
+++ b/src/damaskd/watch_pvt.h
@@ -1,5 +1,5 @@
 /// \file
-/// Watch streams of the resource API.
+/// Watch streams of the resource API: chunked responses with one JSON event on each line.
 #pragma once
 
 #include <damaskworks/http.h>
@@ -14,39 +14,42 @@
 
 namespace damask {
 
-/// Sends every change of resources to the streams that watch them. A stream that resumes from a
-/// version first gets what it missed from the table's history, so that no change is left out
-/// whichever entry VM it comes back to.
+/// Sends each change of a resource to the streams that watch its kind. A stream that resumes from a
+/// version first replays the later changes from the table's history, so a client may resume at any entry
+/// VM and misses no change.
 class WatchHub {
 public:
     WatchHub(event_base* base, Platform& platform, Mirror& mirror);
 
-    /// Opens a stream of the changes after \p since (none: from now on) to resources of \p kinds.
+    /// Opens a stream of the changes to resources of \p kinds after version \p since; without it, of the
+    /// changes from now on.
     void open(
         std::shared_ptr<HttpExchange> exchange, std::optional<TableVersion> since, std::set<Kind> kinds);
-    /// Ends all streams; their clients resume at another entry VM.
+    /// Ends all streams. Their clients can resume at another entry VM.
     void closeAll();
-    std::size_t streams() const { return m_streams.size(); }
+    std::size_t streamCount() const { return m_streams.size(); }
 
 private:
     struct Stream {
         std::shared_ptr<HttpExchange> exchange;
         std::set<Kind> kinds;
-        TableVersion since = 0; ///< the client has everything up to here
-        TableVersion sent = 0;
-        std::set<std::string> keysAtSent; ///< rows sent of the commit \c sent
-        bool replaying = false;
-        std::vector<Row> held; ///< live changes that arrived during the replay
+        TableVersion since = 0; ///< the client has all changes up to this version
+        TableVersion lastSentVersion = 0;
+        std::set<std::string> keysSentAtVersion; ///< rows of the commit `lastSentVersion` that were sent
+        bool isReplaying = false; ///< the history is being read
+        std::vector<Row> bufferedRows; ///< changes that arrived during the replay
     };
 
     void onChange(const Row& row);
+    /// Sends a change that the stream watches and has not sent yet.
     void send(Stream& stream, const Row& row);
     void replay(std::shared_ptr<Stream> stream);
+    /// Sends the current table version to each stream, and ends the streams of slow readers.
     void sendBookmarks();
 
     Platform& m_platform;
     Mirror& m_mirror;
-    Timer m_bookmarks;
+    Timer m_bookmarkTimer;
     std::list<std::shared_ptr<Stream>> m_streams;
 };
 
