--- a/src/damaskctl/commands.cpp
+++ b/src/damaskctl/commands.cpp
@@ -20,22 +20,23 @@
 
 constexpr CommandHelp commandTable[] = {
     { "create", "create KIND NAME [--spec=JSON | --file=PATH]",
-        "Declares a resource. Fails with exit code 4 if it exists." },
+        "Creates a resource. Fails with exit code 4 if it already exists." },
     { "get", "get KIND NAME", "Shows one resource." },
     { "list", "list KIND", "Shows all resources of one kind." },
     { "replace", "replace KIND NAME [--spec=JSON | --file=PATH] [--resource_version=N]",
-        "Replaces a resource's spec. Without --resource_version the present version is read first." },
+        "Replaces a resource's spec. Without --resource_version the current version is read first." },
     { "delete", "delete KIND NAME [--resource_version=N]", "Deletes a resource." },
-    { "move", "move VM POOL", "Asks for a VM to be moved to another pool; watch the VM to see it done." },
+    { "move", "move VM POOL", "Requests the move of a VM to another pool; watch the VM to follow it." },
     { "wave", "wave NAME",
-        "Shows a maintenance wave live until it has ended. Exit code 1 if it did not finish." },
+        "Shows the progress of a maintenance wave until it ends. Exit code 1 if it is cancelled or fails." },
     { "watch", "watch [KIND] [--since=N] [--limit=N]",
-        "Shows each change as it happens; resumes at another server if one is lost." },
-    { "rollout", "rollout", "Shows which nodes have the present configuration in force." },
+        "Shows changes as they happen; resumes at another server if the connection is lost." },
+    { "rollout", "rollout", "Shows the configuration generation that each node has applied." },
     { "status", "status", "Shows the state of each server." },
-    { "help", "help [COMMAND]", "Shows this overview, or one command." },
+    { "help", "help [COMMAND]", "Shows this overview, or the help of one command." },
 };
 
+/// Exit code for an HTTP status; 0: no response.
 ExitCode exitCodeFor(int status)
 {
     switch (status) {
@@ -59,13 +60,14 @@
     }
 }
 
-struct Answer {
-    int status = 0;
+/// A server's response.
+struct Response {
+    int status = 0; ///< 0: none
     json body;
 };
 
-/// Sends requests to the servers in turn. A change is sent to the next server only while no byte
-/// of it has left, so that it is never applied twice.
+/// Sends each request to the servers in turn until one responds. A request that may change something goes
+/// to the next server only if no byte of it has been sent, so that it is never applied twice.
 class Client {
 public:
     explicit Client(const Options& options)
@@ -74,25 +76,25 @@
     {
     }
 
-    Answer call(const std::string& method, const std::string& path, const std::string& query = "",
+    Response call(const std::string& method, const std::string& path, const std::string& query = "",
         const json& body = nullptr)
     {
-        Answer answer;
-        answer.body = { { "error", "no server can be reached" } };
+        Response response;
+        response.body = { { "error", "no server can be reached" } };
         for (const auto& server : m_options.servers) {
             std::optional<HttpResult> result;
             m_client.send(server, { method, path, query, {}, body.is_null() ? "" : body.dump() },
-                m_options.timeout, [&](HttpResult got) { result = std::move(got); });
+                m_options.timeout, [&](HttpResult received) { result = std::move(received); });
             m_loop.runUntil([&] { return result.has_value(); }, m_options.timeout * 2);
             if (result && *result)
                 return { (*result)->status, json::parse((*result)->body, nullptr, false) };
             const bool mayHaveRun = !result || result->error().bytesSent;
             if (mayHaveRun && method != "GET") {
-                answer.body = { { "error", "no answer: the change may or may not have taken effect" } };
-                return answer;
+                response.body = { { "error", "no response: the change may or may not have taken effect" } };
+                return response;
             }
         }
-        return answer;
+        return response;
     }
 
     Loop& loop() { return m_loop; }
@@ -103,34 +105,38 @@
     HttpClient m_client;
 };
 
-int fail(const Answer& answer)
+/// Prints the error in \p response; returns the exit code.
+int reportFailure(const Response& response)
 {
-    std::cerr << "error (status " << answer.status
-              << "): " << (answer.body.is_object() ? answer.body.value("error", "") : "") << "\n";
-    if (!answer.body.is_object())
-        return exitCodeFor(answer.status);
-    for (const auto& field : answer.body.value("fields", json::array()))
+    std::cerr << "error (status " << response.status
+              << "): " << (response.body.is_object() ? response.body.value("error", "") : "") << "\n";
+    if (!response.body.is_object())
+        return exitCodeFor(response.status);
+    for (const auto& field : response.body.value("fields", json::array()))
         std::cerr << "  " << field.value("field", "") << ": value " << field.value("value", "")
                   << "; allowed: " << field.value("allowed", "") << "\n";
-    if (answer.body.contains("presentVersion"))
-        std::cerr << "  present resourceVersion: " << answer.body["presentVersion"] << "\n";
-    return exitCodeFor(answer.status);
+    if (response.body.contains("presentVersion"))
+        std::cerr << "  current resourceVersion: " << response.body["presentVersion"] << "\n";
+    return exitCodeFor(response.status);
 }
 
-int usage(const std::string& command, const std::string& problem)
+/// Prints \p problem and the help of \p command; returns the exit code.
+int reportUsageError(const std::string& command, const std::string& problem)
 {
     std::cerr << problem << "\n" << help(command);
     return Usage;
 }
 
-void show(const json& item, const Options& options)
+void printResource(const json& item, const Options& options)
 {
-    if (options.json)
+    if (options.printsJson)
         std::cout << item.dump(2) << "\n";
     else
         std::cout << resourceTable(json::array({ item }));
 }
 
+/// Reads the spec from the file or the flag; nothing if the file can't be opened, a discarded value if the
+/// text is not JSON.
 std::optional<json> readSpec(const Options& options)
 {
     if (options.file.empty())
@@ -154,7 +160,7 @@
 }
 
 /// Accepts the singular and the plural name of a kind.
-std::optional<Kind> kindCalled(const std::string& word)
+std::optional<Kind> parseKind(const std::string& word)
 {
     const auto plural = valueOf(kindPlurals, word);
     return plural ? plural : valueOf(kindNames, word);
@@ -164,83 +170,84 @@
 {
     const auto spec = readSpec(options);
     if (!spec || !spec->is_object())
-        return usage("create", "the spec is not a JSON object");
-    const auto answer = client.call("POST", pathFor(kind), "", { { "name", name }, { "spec", *spec } });
-    if (answer.status != 201)
-        return fail(answer);
-    show(answer.body, options);
+        return reportUsageError("create", "the spec is not a JSON object");
+    const auto response = client.call("POST", pathFor(kind), "", { { "name", name }, { "spec", *spec } });
+    if (response.status != 201)
+        return reportFailure(response);
+    printResource(response.body, options);
     return Ok;
 }
 
 int get(Client& client, Kind kind, const std::string& name, const Options& options)
 {
-    const auto answer = client.call("GET", pathFor(kind, name));
-    if (answer.status != 200)
-        return fail(answer);
-    show(answer.body, options);
+    const auto response = client.call("GET", pathFor(kind, name));
+    if (response.status != 200)
+        return reportFailure(response);
+    printResource(response.body, options);
     return Ok;
 }
 
 int list(Client& client, Kind kind, const Options& options)
 {
-    const auto answer = client.call("GET", pathFor(kind));
-    if (answer.status != 200)
-        return fail(answer);
-    std::cout << (options.json ? answer.body.dump(2) + "\n" : resourceTable(answer.body["items"]));
+    const auto response = client.call("GET", pathFor(kind));
+    if (response.status != 200)
+        return reportFailure(response);
+    std::cout << (options.printsJson ? response.body.dump(2) + "\n" : resourceTable(response.body["items"]));
     return Ok;
 }
 
-/// The version to state in a change; on failure the answer that says why.
-tl::expected<std::uint64_t, Answer> versionToState(
+/// The resource version to replace or delete: the one given, or the current one. If that can't be read, the
+/// server's response.
+tl::expected<std::uint64_t, Response> versionToChange(
     Client& client, Kind kind, const std::string& name, const Options& options)
 {
     if (options.resourceVersion)
         return options.resourceVersion;
-    auto present = client.call("GET", pathFor(kind, name));
-    if (present.status != 200)
-        return tl::make_unexpected(present);
-    return present.body["resourceVersion"].get<std::uint64_t>();
+    auto current = client.call("GET", pathFor(kind, name));
+    if (current.status != 200)
+        return tl::make_unexpected(current);
+    return current.body["resourceVersion"].get<std::uint64_t>();
 }
 
 int replace(Client& client, Kind kind, const std::string& name, const Options& options)
 {
     const auto spec = readSpec(options);
     if (!spec || !spec->is_object())
-        return usage("replace", "the spec is not a JSON object");
-    const auto version = versionToState(client, kind, name, options);
+        return reportUsageError("replace", "the spec is not a JSON object");
+    const auto version = versionToChange(client, kind, name, options);
     if (!version)
-        return fail(version.error());
-    const auto answer
+        return reportFailure(version.error());
+    const auto response
         = client.call("PUT", pathFor(kind, name), "", { { "resourceVersion", *version }, { "spec", *spec } });
-    if (answer.status != 200)
-        return fail(answer);
-    show(answer.body, options);
+    if (response.status != 200)
+        return reportFailure(response);
+    printResource(response.body, options);
     return Ok;
 }
 
 int remove(Client& client, Kind kind, const std::string& name, const Options& options)
 {
-    const auto version = versionToState(client, kind, name, options);
+    const auto version = versionToChange(client, kind, name, options);
     if (!version)
-        return fail(version.error());
-    const auto answer
+        return reportFailure(version.error());
+    const auto response
         = client.call("DELETE", pathFor(kind, name), "resourceVersion=" + std::to_string(*version));
-    if (answer.status != 200)
-        return fail(answer);
+    if (response.status != 200)
+        return reportFailure(response);
     std::cout << "deleted " << nameOf(kindNames, kind) << " " << name << "\n";
     return Ok;
 }
 
 int move(Client& client, const std::string& vm, const std::string& pool, const Options& options)
 {
-    const auto answer = client.call("POST", pathFor(Kind::Vm, vm) + "/move", "", { { "pool", pool } });
-    if (answer.status != 202)
-        return fail(answer);
-    show(answer.body, options);
+    const auto response = client.call("POST", pathFor(Kind::Vm, vm) + "/move", "", { { "pool", pool } });
+    if (response.status != 202)
+        return reportFailure(response);
+    printResource(response.body, options);
     return Ok;
 }
 
-/// One line that shows how far a wave is.
+/// One line with a progress bar, the counts, the phase and the conditions of a wave.
 std::string progressLine(const json& wave)
 {
     constexpr int width = 30;
@@ -267,35 +274,35 @@
 int wave(Client& client, const std::string& name, const Options& options)
 {
     constexpr std::chrono::milliseconds refreshPeriod { 200 };
-    std::string shown;
+    std::string lastLine;
     for (;;) {
-        const auto answer = client.call("GET", pathFor(Kind::Wave, name));
-        if (answer.status != 200)
-            return fail(answer);
-        const auto line = options.json ? answer.body.dump() : progressLine(answer.body);
-        if (line != shown)
+        const auto response = client.call("GET", pathFor(Kind::Wave, name));
+        if (response.status != 200)
+            return reportFailure(response);
+        const auto line = options.printsJson ? response.body.dump() : progressLine(response.body);
+        if (line != lastLine)
             std::cout << line << std::endl;
-        shown = line;
-        if (hasEnded(answer.body))
-            return answer.body["status"]["phase"] == "finished" ? Ok : Failure;
+        lastLine = line;
+        if (hasEnded(response.body))
+            return response.body["status"]["phase"] == "finished" ? Ok : Failure;
         client.loop().runUntil([] { return false; }, refreshPeriod);
     }
 }
 
 int rollout(Client& client, const Options& options)
 {
-    const auto answer = client.call("GET", "/v1/configurations/current/rollout");
-    if (answer.status != 200)
-        return fail(answer);
-    if (options.json) {
-        std::cout << answer.body.dump(2) << "\n";
+    const auto response = client.call("GET", "/v1/configurations/current/rollout");
+    if (response.status != 200)
+        return reportFailure(response);
+    if (options.printsJson) {
+        std::cout << response.body.dump(2) << "\n";
         return Ok;
     }
     std::vector<std::vector<std::string>> rows { { "NODE", "DATA CENTRE", "GENERATION", "HEARD MS AGO" } };
-    for (const auto& node : answer.body["nodes"])
+    for (const auto& node : response.body["nodes"])
         rows.push_back(
             { node["node"], node["dataCentre"], node["generation"].dump(), node["lastHeardMs"].dump() });
-    std::cout << "configuration generation " << answer.body["generation"] << "\n" << formatTable(rows);
+    std::cout << "configuration generation " << response.body["generation"] << "\n" << formatTable(rows);
     return Ok;
 }
 
@@ -305,16 +312,16 @@
         "TABLE AGE MS" } };
     int code = Ok;
     for (const auto& server : options.servers) {
-        Options one = options;
-        one.servers = { server };
-        Client client(one);
-        const auto answer = client.call("GET", "/v1/status");
-        if (answer.status != 200) {
+        Options serverOptions = options;
+        serverOptions.servers = { server };
+        Client client(serverOptions);
+        const auto response = client.call("GET", "/v1/status");
+        if (response.status != 200) {
             rows.push_back({ http::toString(server), "unreachable" });
             code = Unavailable;
             continue;
         }
-        const auto& body = answer.body;
+        const auto& body = response.body;
         rows.push_back({ http::toString(server), body["node"], body["dataCentre"],
             body["ready"] == true ? "yes" : "no: " + body["reason"].get<std::string>(),
             body["configurationGeneration"].dump(), body["tableAgeMs"].dump() });
@@ -323,15 +330,15 @@
     return code;
 }
 
-/// Shows changes until the limit is reached. When a server is lost, the stream goes on at the next
-/// one from the last version that was seen.
+/// Prints changes until the limit is reached. After a connection is lost, the watch resumes at the next
+/// server from the last version received.
 class Watcher {
 public:
     Watcher(std::string path, const Options& options)
         : m_path(std::move(path))
         , m_options(options)
         , m_since(options.since)
-        , m_reconnect(m_loop.base(), [this] { connect(); })
+        , m_reconnectTimer(m_loop.base(), [this] { connect(); })
     {
     }
 
@@ -344,46 +351,47 @@
 
 private:
     static constexpr std::chrono::milliseconds reconnectDelay { 200 };
-    static constexpr int maxFailuresInARow = 50;
+    static constexpr int maxConsecutiveFailures = 50;
 
     void connect()
     {
-        const auto& server = m_options.servers[m_server++ % m_options.servers.size()];
+        const auto& server = m_options.servers[m_nextServer++ % m_options.servers.size()];
         std::string target = m_path;
         if (m_since)
             target
                 += (target.find('?') == std::string::npos ? "?since=" : "&since=") + std::to_string(m_since);
         m_stream = std::make_unique<HttpLineStream>(
-            m_loop.base(), server, target, [this](auto line) { take(line); },
-            [this](int code) { ended(code); });
+            m_loop.base(), server, target, [this](auto line) { onLine(line); },
+            [this](int code) { onStreamEnded(code); });
     }
 
-    void take(std::string_view line)
+    void onLine(std::string_view line)
     {
         const auto event = json::parse(line, nullptr, false);
         if (!event.is_object())
             return;
-        m_failures = 0;
+        m_consecutiveFailures = 0;
         if (event.value("type", "") == "error" && event.value("error", "") == "history_gone") {
-            std::cerr << "the changes since " << m_since << " are no longer kept: list again\n";
+            std::cerr << "the change history since version " << m_since
+                      << " is no longer available: list the resources and watch again\n";
             m_exitCode = Failure;
             m_loop.stop();
             return;
         }
         if (event.contains("version"))
             m_since = std::max(m_since, event["version"].get<std::uint64_t>());
-        if (!event.contains("kind") || m_done)
+        if (!event.contains("kind") || m_hasReachedLimit)
             return;
         print(event);
-        if (m_options.limit && ++m_shown >= m_options.limit) {
-            m_done = true;
+        if (m_options.limit && ++m_printedCount >= m_options.limit) {
+            m_hasReachedLimit = true;
             m_loop.stop();
         }
     }
 
     void print(const json& event) const
     {
-        if (m_options.json) {
+        if (m_options.printsJson) {
             std::cout << event.dump() << std::endl;
             return;
         }
@@ -393,44 +401,45 @@
                   << (event.contains(part) ? event[part].dump() : "") << std::endl;
     }
 
-    void ended(int code)
+    void onStreamEnded(int code)
     {
-        if (m_done)
+        if (m_hasReachedLimit)
             return;
         if (code >= 400 && code < 500) {
             m_exitCode = exitCodeFor(code);
             m_loop.stop();
             return;
         }
-        if (++m_failures > maxFailuresInARow) {
+        if (++m_consecutiveFailures > maxConsecutiveFailures) {
             std::cerr << "no server can be reached\n";
             m_exitCode = Unavailable;
             m_loop.stop();
             return;
         }
-        m_reconnect.startOnce(reconnectDelay);
+        m_reconnectTimer.startOnce(reconnectDelay);
     }
 
     std::string m_path;
     const Options& m_options;
     std::uint64_t m_since;
     Loop m_loop;
-    Timer m_reconnect;
+    Timer m_reconnectTimer;
     std::unique_ptr<HttpLineStream> m_stream;
-    std::size_t m_server = 0;
-    int m_failures = 0;
-    int m_shown = 0;
+    std::size_t m_nextServer = 0;
+    int m_consecutiveFailures = 0;
+    int m_printedCount = 0;
     int m_exitCode = Ok;
-    bool m_done = false;
+    bool m_hasReachedLimit = false;
 };
 
-int watch(const std::vector<std::string>& words, const Options& options)
+int watch(const std::vector<std::string>& commandLine, const Options& options)
 {
-    if (words.size() < 2)
+    if (commandLine.size() < 2)
         return Watcher("/v1/watch", options).run();
-    const auto kind = kindCalled(words[1]);
+    const auto kind = parseKind(commandLine[1]);
     if (!kind)
-        return usage("watch", "unknown kind '" + words[1] + "'; allowed: " + allNames(kindNames));
+        return reportUsageError(
+            "watch", "unknown kind '" + commandLine[1] + "'; allowed: " + allNames(kindNames));
     return Watcher(pathFor(*kind) + "?watch=1", options).run();
 }
 
@@ -451,48 +460,49 @@
     return out;
 }
 
-int run(const std::vector<std::string>& words, const Options& options)
+int run(const std::vector<std::string>& commandLine, const Options& options)
 {
-    if (words.empty())
-        return usage("", "a command is required");
-    const auto& command = words[0];
+    if (commandLine.empty())
+        return reportUsageError("", "a command is required");
+    const auto& command = commandLine[0];
     if (command == "help") {
-        std::cout << help(words.size() > 1 ? words[1] : "");
+        std::cout << help(commandLine.size() > 1 ? commandLine[1] : "");
         return Ok;
     }
     if (options.servers.empty())
-        return usage("", "no server is set: --server=IP:PORT[,IP:PORT...]");
+        return reportUsageError("", "no server is set: --server=IP:PORT[,IP:PORT...]");
     if (command == "watch")
-        return watch(words, options);
+        return watch(commandLine, options);
     if (command == "status")
         return status(options);
     Client client(options);
     if (command == "rollout")
         return rollout(client, options);
-    if (command == "move" && words.size() == 3)
-        return move(client, words[1], words[2], options);
-    if (command == "wave" && words.size() == 2)
-        return wave(client, words[1], options);
+    if (command == "move" && commandLine.size() == 3)
+        return move(client, commandLine[1], commandLine[2], options);
+    if (command == "wave" && commandLine.size() == 2)
+        return wave(client, commandLine[1], options);
     const bool needsName
         = command == "create" || command == "get" || command == "replace" || command == "delete";
     if (command == "move" || command == "wave")
-        return usage(command, "the words after the command are not as expected");
+        return reportUsageError(command, "wrong number of arguments");
     if (!needsName && command != "list")
-        return usage("", "unknown command '" + command + "'");
-    if (words.size() != (needsName ? 3u : 2u))
-        return usage(command, needsName ? "a kind and a name are required" : "a kind is required");
-    const auto kind = kindCalled(words[1]);
+        return reportUsageError("", "unknown command '" + command + "'");
+    if (commandLine.size() != (needsName ? 3u : 2u))
+        return reportUsageError(command, needsName ? "a kind and a name are required" : "a kind is required");
+    const auto kind = parseKind(commandLine[1]);
     if (!kind)
-        return usage(command, "unknown kind '" + words[1] + "'; allowed: " + allNames(kindNames));
+        return reportUsageError(
+            command, "unknown kind '" + commandLine[1] + "'; allowed: " + allNames(kindNames));
     if (command == "list")
         return list(client, *kind, options);
     if (command == "create")
-        return create(client, *kind, words[2], options);
+        return create(client, *kind, commandLine[2], options);
     if (command == "get")
-        return get(client, *kind, words[2], options);
+        return get(client, *kind, commandLine[2], options);
     if (command == "replace")
-        return replace(client, *kind, words[2], options);
-    return remove(client, *kind, words[2], options);
+        return replace(client, *kind, commandLine[2], options);
+    return remove(client, *kind, commandLine[2], options);
 }
 
 } // namespace damask::ctl
--- a/src/damaskctl/commands_pvt.h
+++ b/src/damaskctl/commands_pvt.h
@@ -25,23 +25,23 @@
 /// Options shared by all commands.
 struct Options {
     std::vector<Address> servers; ///< tried in turn
-    bool json = false; ///< print JSON in place of tables
+    bool printsJson = false; ///< instead of tables
     std::string spec; ///< JSON text
-    std::string file; ///< file with a spec, "-" for standard input
-    std::uint64_t resourceVersion = 0; ///< 0: the present one
-    std::uint64_t since = 0; ///< 0: from now on
-    int limit = 0; ///< number of changes after which a watch ends; 0: none
-    std::chrono::milliseconds timeout { 10'000 };
+    std::string file; ///< path of a file with a spec, "-" for standard input; overrides spec
+    std::uint64_t resourceVersion = 0; ///< to replace or delete; 0: the current version
+    std::uint64_t since = 0; ///< version after which a watch starts; 0: now
+    int limit = 0; ///< number of changes after which a watch ends; 0: no limit
+    std::chrono::milliseconds timeout { 10'000 }; ///< of one request
 };
 
-/// Runs the command in \p words; returns the exit code.
-int run(const std::vector<std::string>& words, const Options& options);
-/// Help for one command, or the overview if \p command is empty or unknown.
+/// Runs a command, given with its arguments in \p commandLine; returns the exit code.
+int run(const std::vector<std::string>& commandLine, const Options& options);
+/// Help for one command; the overview of all if \p command is empty or unknown.
 std::string help(const std::string& command);
 
-/// Text table with aligned columns; the first row is the header.
+/// Formats rows as a text table with aligned columns; the first row is the header.
 std::string formatTable(const std::vector<std::vector<std::string>>& rows);
-/// Table of resources of one kind.
+/// Formats resources of one kind as a text table, with one column for each spec and status field.
 std::string resourceTable(const nlohmann::json& items);
 
 } // namespace damask::ctl
--- a/src/damaskctl/main.cpp
+++ b/src/damaskctl/main.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The operators' command line of damaskworks.
+/// Entry point of damaskctl, the operators' command-line client: reads the flags and runs one command.
 #include "commands_pvt.h"
 
 #include <damaskworks/settings.h>
@@ -15,10 +15,10 @@
 ABSL_FLAG(std::string, output, "table", "Output format: table or json.");
 ABSL_FLAG(std::string, spec, "", "Spec of a resource as JSON text.");
 ABSL_FLAG(std::string, file, "", "File with a spec as JSON; - for standard input.");
-ABSL_FLAG(uint64_t, resource_version, 0, "Version that a change replaces; 0 for the present one.");
+ABSL_FLAG(uint64_t, resource_version, 0, "Resource version to replace or delete; 0 for the current one.");
 ABSL_FLAG(uint64_t, since, 0, "Version after which a watch starts; 0 for now.");
-ABSL_FLAG(int, limit, 0, "Number of changes after which a watch ends; 0 for no end.");
-ABSL_FLAG(int, timeout_ms, 10000, "Milliseconds to wait for an answer, 10 to 600000.");
+ABSL_FLAG(int, limit, 0, "Number of changes after which a watch ends; 0 for no limit.");
+ABSL_FLAG(int, timeout_ms, 10000, "Milliseconds to wait for a response, 10 to 600000.");
 
 namespace {
 
@@ -27,21 +27,22 @@
 constexpr std::array<std::string_view, 8> settingNames { "server", "output", "spec", "file",
     "resource_version", "since", "limit", "timeout_ms" };
 
-ctl::Options check(std::vector<SettingError>& errors)
+/// Builds the options from the flags; adds one error for each invalid value.
+ctl::Options parseOptions(std::vector<SettingError>& errors)
 {
     ctl::Options options;
     std::stringstream servers(absl::GetFlag(FLAGS_server));
-    for (std::string one; std::getline(servers, one, ',');) {
-        const auto address = http::parseAddress(one);
+    for (std::string server; std::getline(servers, server, ',');) {
+        const auto address = http::parseAddress(server);
         if (address)
             options.servers.push_back(*address);
         else
-            errors.push_back({ "--server", one, "ip:port" });
+            errors.push_back({ "--server", server, "ip:port" });
     }
     const auto output = absl::GetFlag(FLAGS_output);
     if (output != "table" && output != "json")
         errors.push_back({ "--output", output, "table, json" });
-    options.json = output == "json";
+    options.printsJson = output == "json";
     options.spec = absl::GetFlag(FLAGS_spec);
     options.file = absl::GetFlag(FLAGS_file);
     options.resourceVersion = absl::GetFlag(FLAGS_resource_version);
@@ -59,16 +60,16 @@
 int main(int argc, char** argv)
 {
     std::signal(SIGPIPE, SIG_IGN);
-    auto read = settings::read(
+    auto parsed = settings::read(
         std::span<char* const>(argv + 1, static_cast<std::size_t>(argc - 1)), "DAMASKCTL_", settingNames);
-    if (read.helpRequested) {
+    if (parsed.helpRequested) {
         std::cout << settings::help(ctl::help(""), "DAMASKCTL_", settingNames);
         return ctl::Ok;
     }
-    const auto options = check(read.errors);
-    for (const auto& error : read.errors)
+    const auto options = parseOptions(parsed.errors);
+    for (const auto& error : parsed.errors)
         std::cerr << settings::describe(error) << "\n";
-    if (!read.errors.empty())
+    if (!parsed.errors.empty())
         return ctl::Usage;
-    return ctl::run(read.positional, options);
+    return ctl::run(parsed.positional, options);
 }
--- a/src/damaskctl/table.cpp
+++ b/src/damaskctl/table.cpp
@@ -8,6 +8,7 @@
 constexpr std::size_t maxCellWidth = 48;
 constexpr std::size_t columnGap = 2;
 
+/// Text of a table cell, truncated to maxCellWidth bytes.
 std::string cellText(const json& value)
 {
     std::string text = value.is_string() ? value.get<std::string>() : value.dump();
@@ -41,15 +42,15 @@
 {
     std::vector<std::string> specFields;
     std::vector<std::string> statusFields;
-    auto collect = [](const json& object, std::vector<std::string>& fields) {
+    auto collectFields = [](const json& object, std::vector<std::string>& fields) {
         for (const auto& [name, value] : object.items()) {
             if (std::find(fields.begin(), fields.end(), name) == fields.end())
                 fields.push_back(name);
         }
     };
     for (const auto& item : items) {
-        collect(item["spec"], specFields);
-        collect(item["status"], statusFields);
+        collectFields(item["spec"], specFields);
+        collectFields(item["status"], statusFields);
     }
     std::vector<std::vector<std::string>> rows { { "NAME", "VERSION" } };
     for (const auto& field : specFields)
