--- a/src/include/damaskworks/loop.h
+++ b/src/include/damaskworks/loop.h
@@ -1,5 +1,5 @@
 /// \file
-/// The process's event loop, timers and signals.
+/// The event loop of the process, timers and signal handling.
 #pragma once
 
 #include <chrono>
@@ -10,7 +10,7 @@
 
 namespace damask {
 
-/// Owner of the libevent loop. All of a process's work runs on it, on one thread.
+/// Owns the libevent loop. All work of the process runs on this loop, on one thread.
 class Loop {
 public:
     Loop();
@@ -20,10 +20,10 @@
     event_base* base() const { return m_base; }
     /// Runs until stop().
     void run();
-    /// Makes run() return.
+    /// Makes run() return after the current callback.
     void stop();
-    /// Runs until \p done returns true or \p limit has passed; returns whether it is done.
-    bool runUntil(const std::function<bool()>& done, std::chrono::milliseconds limit);
+    /// Runs until \p done returns true or \p timeout has passed. Returns the last result of \p done.
+    bool runUntil(const std::function<bool()>& done, std::chrono::milliseconds timeout);
 
 private:
     event_base* m_base;
@@ -36,10 +36,11 @@
     ~Timer();
     Timer(const Timer&) = delete;
     Timer& operator=(const Timer&) = delete;
-    /// Fires once after \p delay, replacing an earlier setting.
+    /// Fires once after \p delay. Replaces an earlier startOnce() that has not fired yet.
     void startOnce(std::chrono::microseconds delay);
-    /// Fires every \p period.
+    /// Fires every \p period, for the first time after one period.
     void startPeriodic(std::chrono::microseconds period);
+    /// Cancels startOnce() and startPeriodic().
     void stop();
 
     struct Impl;
@@ -48,7 +49,7 @@
     std::unique_ptr<Impl> m_impl;
 };
 
-/// Calls a function on the loop when a signal arrives.
+/// Calls a function on the loop each time the process receives a signal. Destroying it stops this.
 class SignalWatch {
 public:
     SignalWatch(event_base* base, int signal, std::function<void()> callback);
--- a/src/include/damaskworks/rpc.h
+++ b/src/include/damaskworks/rpc.h
@@ -1,5 +1,6 @@
 /// \file
-/// Cap'n Proto RPC on the libevent loop: an event port for kj and byte streams on bufferevents.
+/// Cap'n Proto RPC on the libevent loop: a kj event loop driven by libevent, and kj byte streams on
+/// bufferevents.
 #pragma once
 
 #include <damaskworks/http.h>
@@ -14,14 +15,14 @@
 
 namespace damask {
 
-/// Runs a kj event loop from within libevent's loop. Create one per process before any kj promise.
+/// Runs a kj event loop within the libevent loop. Create one per process, before any kj promise.
 class KjLoop {
 public:
     explicit KjLoop(event_base* base);
     ~KjLoop();
     KjLoop(const KjLoop&) = delete;
     KjLoop& operator=(const KjLoop&) = delete;
-    /// Needed only by code that blocks on a promise (tests).
+    /// For code that blocks on a promise, such as tests.
     kj::WaitScope& waitScope();
 
     struct Impl;
@@ -32,14 +33,14 @@
 
 namespace rpc {
 
-/// A kj byte stream on \p bev, which it takes over.
-kj::Own<kj::AsyncIoStream> wrap(bufferevent* bev);
-/// Starts a connection to \p address; failures show on the first read or write.
+/// Wraps \p bev in a kj byte stream, which takes ownership of it.
+kj::Own<kj::AsyncIoStream> wrapBufferevent(bufferevent* bev);
+/// Starts to connect to \p address. A connection failure is reported by the stream's reads and writes.
 kj::Own<kj::AsyncIoStream> connect(event_base* base, const Address& address);
 
 } // namespace rpc
 
-/// Accepts TCP connections and hands them over as kj byte streams.
+/// Accepts TCP connections and passes each to its handler as a kj byte stream.
 class RpcListener {
 public:
     using Handler = std::function<void(kj::Own<kj::AsyncIoStream>)>;
--- a/src/libnet/kj_loop.cpp
+++ b/src/libnet/kj_loop.cpp
@@ -5,15 +5,16 @@
 namespace damask {
 namespace {
 
-/// Lets kj wait on libevent, and lets libevent run kj's queue as an ordinary event.
+/// Integrates kj's event loop with libevent: kj waits by running the libevent loop, and a libevent event runs
+/// kj's queue.
 class LibeventPort final : public kj::EventPort {
 public:
     explicit LibeventPort(event_base* base)
         : m_base(base)
-        , m_run(event_new(base, -1, 0, onRun, this))
+        , m_runEvent(event_new(base, -1, 0, onRunEvent, this))
     {
     }
-    ~LibeventPort() noexcept(false) { event_free(m_run); }
+    ~LibeventPort() noexcept(false) { event_free(m_runEvent); }
 
     void attach(kj::EventLoop& loop) { m_loop = &loop; }
 
@@ -32,23 +33,23 @@
     void setRunnable(bool runnable) override
     {
         if (runnable)
-            event_active(m_run, EV_TIMEOUT, 0);
+            event_active(m_runEvent, EV_TIMEOUT, 0);
     }
 
 private:
-    /// Bounds the time that kj's queue may hold the loop.
+    /// Limits how long kj's queue may block the libevent loop.
     static constexpr unsigned maxTurnsPerRun = 256;
 
-    static void onRun(evutil_socket_t, short, void* argument)
+    static void onRunEvent(evutil_socket_t, short, void* argument)
     {
         auto& port = *static_cast<LibeventPort*>(argument);
         port.m_loop->run(maxTurnsPerRun);
         if (port.m_loop->isRunnable())
-            event_active(port.m_run, EV_TIMEOUT, 0);
+            event_active(port.m_runEvent, EV_TIMEOUT, 0);
     }
 
     event_base* m_base;
-    event* m_run;
+    event* m_runEvent;
     kj::EventLoop* m_loop = nullptr;
 };
 
--- a/src/libnet/kj_stream.cpp
+++ b/src/libnet/kj_stream.cpp
@@ -11,12 +11,13 @@
 namespace damask {
 namespace {
 
-/// Writes complete at once while less than this is buffered; above it they wait for the socket.
+/// A write completes at once while less output than this is buffered. Otherwise it waits for the socket.
 constexpr std::size_t writeHighWaterBytes = 64 * 1024;
-/// Reading stops while this much is buffered and not consumed.
+/// The stream stops reading from the socket while this much input is buffered.
 constexpr std::size_t readHighWaterBytes = 256 * 1024;
 constexpr int listenBacklog = 128;
 
+/// A kj byte stream on a bufferevent, which it owns.
 class BuffereventStream final : public kj::AsyncIoStream {
 public:
     explicit BuffereventStream(bufferevent* bev)
@@ -34,41 +35,41 @@
     kj::Promise<size_t> tryRead(void* buffer, size_t minBytes, size_t maxBytes) override
     {
         auto* input = bufferevent_get_input(m_bev);
-        if (evbuffer_get_length(input) >= minBytes || m_readEnded)
-            return take(buffer, maxBytes);
-        KJ_REQUIRE(m_read.get() == nullptr, "one read at a time");
+        if (evbuffer_get_length(input) >= minBytes || m_isReadEnded)
+            return readBuffered(buffer, maxBytes);
+        KJ_REQUIRE(m_pendingRead.get() == nullptr, "a read is already pending");
         auto pair = kj::newPromiseAndFulfiller<size_t>();
-        m_read = kj::heap<PendingRead>(
+        m_pendingRead = kj::heap<PendingRead>(
             PendingRead { static_cast<char*>(buffer), minBytes, maxBytes, 0, kj::mv(pair.fulfiller) });
-        // Takes what is buffered now: a buffer that is full up to the mark gets no further read event.
-        serveRead();
+        // Consumes the buffered input now: while the buffer is full, no read event follows.
+        continueRead();
         return kj::mv(pair.promise);
     }
 
     kj::Promise<void> write(const void* buffer, size_t size) override
     {
-        if (m_writeEnded)
+        if (m_isWriteEnded)
             return KJ_EXCEPTION(DISCONNECTED, "connection is closed");
         bufferevent_write(m_bev, buffer, size);
-        return whenDrained();
+        return whenBelowHighWater();
     }
 
     kj::Promise<void> write(kj::ArrayPtr<const kj::ArrayPtr<const kj::byte>> pieces) override
     {
-        if (m_writeEnded)
+        if (m_isWriteEnded)
             return KJ_EXCEPTION(DISCONNECTED, "connection is closed");
         for (auto piece : pieces)
             bufferevent_write(m_bev, piece.begin(), piece.size());
-        return whenDrained();
+        return whenBelowHighWater();
     }
 
     kj::Promise<void> whenWriteDisconnected() override { return m_whenDisconnected.addBranch(); }
 
     void shutdownWrite() override
     {
-        m_shutdownRequested = true;
-        m_writeEnded = true;
-        shutdownIfDrained();
+        m_isShutdownRequested = true;
+        m_isWriteEnded = true;
+        shutdownIfOutputEmpty();
     }
 
     void abortRead() override { ::shutdown(bufferevent_getfd(m_bev), SHUT_RD); }
@@ -78,133 +79,139 @@
         char* buffer;
         size_t minBytes;
         size_t maxBytes;
-        size_t done;
+        size_t bytesRead;
         kj::Own<kj::PromiseFulfiller<size_t>> fulfiller;
     };
 
-    kj::Promise<void> whenDrained()
+    /// Resolves once less than writeHighWaterBytes of output is buffered.
+    kj::Promise<void> whenBelowHighWater()
     {
         if (evbuffer_get_length(bufferevent_get_output(m_bev)) < writeHighWaterBytes)
             return kj::READY_NOW;
         auto pair = kj::newPromiseAndFulfiller<void>();
-        m_drained = kj::mv(pair.fulfiller);
+        m_pendingWrite = kj::mv(pair.fulfiller);
         return kj::mv(pair.promise);
     }
 
-    void shutdownIfDrained()
+    void shutdownIfOutputEmpty()
     {
-        if (m_shutdownRequested && evbuffer_get_length(bufferevent_get_output(m_bev)) == 0)
+        if (m_isShutdownRequested && evbuffer_get_length(bufferevent_get_output(m_bev)) == 0)
             ::shutdown(bufferevent_getfd(m_bev), SHUT_WR);
     }
 
-    size_t take(void* buffer, size_t maxBytes)
+    /// Moves up to \p maxBytes of the buffered input to \p buffer. Returns the number of bytes.
+    size_t readBuffered(void* buffer, size_t maxBytes)
     {
-        const auto taken = evbuffer_remove(bufferevent_get_input(m_bev), buffer, maxBytes);
-        limitReading();
-        return taken > 0 ? static_cast<size_t>(taken) : 0;
+        const auto count = evbuffer_remove(bufferevent_get_input(m_bev), buffer, maxBytes);
+        updateReadSuspension();
+        return count > 0 ? static_cast<size_t>(count) : 0;
     }
 
-    /// Stops reading while enough is buffered. libevent's own high-water mark is not used: it calls
-    /// the read callback without pause for as long as the buffer is full.
-    void limitReading()
+    /// Stops reading from the socket while the input buffer is full. The stream doesn't use libevent's
+    /// high-water mark, with which libevent calls the read callback in a busy loop while the buffer is full.
+    void updateReadSuspension()
     {
-        const bool full = evbuffer_get_length(bufferevent_get_input(m_bev)) >= readHighWaterBytes;
-        if (full == m_readSuspended)
+        const bool isFull = evbuffer_get_length(bufferevent_get_input(m_bev)) >= readHighWaterBytes;
+        if (isFull == m_isReadSuspended)
             return;
-        m_readSuspended = full;
-        if (full)
+        m_isReadSuspended = isFull;
+        if (isFull)
             bufferevent_disable(m_bev, EV_READ);
         else
             bufferevent_enable(m_bev, EV_READ);
     }
 
-    void serveRead()
+    /// Passes buffered input to the pending read, if any, and completes the read once it has enough.
+    void continueRead()
     {
-        limitReading();
-        if (m_read.get() == nullptr)
+        updateReadSuspension();
+        if (m_pendingRead.get() == nullptr)
             return;
-        auto& pending = *m_read;
-        pending.done += take(pending.buffer + pending.done, pending.maxBytes - pending.done);
-        if (pending.done < pending.minBytes && !m_readEnded)
+        auto& pending = *m_pendingRead;
+        pending.bytesRead
+            += readBuffered(pending.buffer + pending.bytesRead, pending.maxBytes - pending.bytesRead);
+        if (pending.bytesRead < pending.minBytes && !m_isReadEnded)
             return;
-        auto finished = kj::mv(m_read);
-        m_read = nullptr;
-        finished->fulfiller->fulfill(kj::cp(finished->done));
+        auto finished = kj::mv(m_pendingRead);
+        m_pendingRead = nullptr;
+        finished->fulfiller->fulfill(kj::cp(finished->bytesRead));
     }
 
-    void end()
+    /// Ends reading; a pending read completes with what has arrived.
+    void endRead()
     {
-        m_readEnded = true;
-        serveRead();
+        m_isReadEnded = true;
+        continueRead();
     }
 
-    void fail()
+    /// Ends both directions after a connection error; a pending write fails.
+    void failConnection()
     {
-        m_writeEnded = true;
+        m_isWriteEnded = true;
         m_disconnected.fulfiller->fulfill();
-        if (m_drained.get() != nullptr) {
-            m_drained->reject(KJ_EXCEPTION(DISCONNECTED, "connection is closed"));
-            m_drained = nullptr;
+        if (m_pendingWrite.get() != nullptr) {
+            m_pendingWrite->reject(KJ_EXCEPTION(DISCONNECTED, "connection is closed"));
+            m_pendingWrite = nullptr;
         }
-        end();
+        endRead();
     }
 
     static void onRead(bufferevent*, void* argument)
     {
-        static_cast<BuffereventStream*>(argument)->serveRead();
+        static_cast<BuffereventStream*>(argument)->continueRead();
     }
 
     static void onWrite(bufferevent* bev, void* argument)
     {
         auto& stream = *static_cast<BuffereventStream*>(argument);
-        stream.shutdownIfDrained();
-        if (stream.m_drained.get() == nullptr
+        stream.shutdownIfOutputEmpty();
+        if (stream.m_pendingWrite.get() == nullptr
             || evbuffer_get_length(bufferevent_get_output(bev)) >= writeHighWaterBytes)
             return;
-        auto drained = kj::mv(stream.m_drained);
-        stream.m_drained = nullptr;
-        drained->fulfill();
+        auto finished = kj::mv(stream.m_pendingWrite);
+        stream.m_pendingWrite = nullptr;
+        finished->fulfill();
     }
 
     static void onEvent(bufferevent*, short events, void* argument)
     {
         auto& stream = *static_cast<BuffereventStream*>(argument);
         if (events & BEV_EVENT_ERROR)
-            stream.fail();
+            stream.failConnection();
         else if (events & BEV_EVENT_EOF)
-            stream.end();
+            stream.endRead();
     }
 
     bufferevent* m_bev;
     kj::PromiseFulfillerPair<void> m_disconnected;
     kj::ForkedPromise<void> m_whenDisconnected;
-    kj::Own<PendingRead> m_read;
-    kj::Own<kj::PromiseFulfiller<void>> m_drained;
-    bool m_readSuspended = false;
-    bool m_readEnded = false;
-    bool m_writeEnded = false;
-    bool m_shutdownRequested = false;
+    kj::Own<PendingRead> m_pendingRead;
+    kj::Own<kj::PromiseFulfiller<void>> m_pendingWrite;
+    bool m_isReadSuspended = false;
+    bool m_isReadEnded = false;
+    bool m_isWriteEnded = false;
+    bool m_isShutdownRequested = false;
 };
 
 sockaddr_in toSocketAddress(const Address& address)
 {
-    sockaddr_in out {};
-    out.sin_family = AF_INET;
-    out.sin_port = htons(address.port);
-    inet_pton(AF_INET, address.ip.c_str(), &out.sin_addr);
-    return out;
+    sockaddr_in result {};
+    result.sin_family = AF_INET;
+    result.sin_port = htons(address.port);
+    inet_pton(AF_INET, address.ip.c_str(), &result.sin_addr);
+    return result;
 }
 
 } // namespace
 
 namespace rpc {
 
-kj::Own<kj::AsyncIoStream> wrap(bufferevent* bev) { return kj::heap<BuffereventStream>(bev); }
+kj::Own<kj::AsyncIoStream> wrapBufferevent(bufferevent* bev) { return kj::heap<BuffereventStream>(bev); }
 
 kj::Own<kj::AsyncIoStream> connect(event_base* base, const Address& address)
 {
     auto* bev = bufferevent_socket_new(base, -1, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
-    auto stream = wrap(bev);
+    auto stream = wrapBufferevent(bev);
     auto target = toSocketAddress(address);
     bufferevent_socket_connect(bev, reinterpret_cast<sockaddr*>(&target), sizeof(target));
     return stream;
@@ -220,7 +227,7 @@
     static void onAccept(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* argument)
     {
         auto& impl = *static_cast<Impl*>(argument);
-        impl.handler(rpc::wrap(
+        impl.handler(rpc::wrapBufferevent(
             bufferevent_socket_new(impl.base, fd, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS)));
     }
 };
--- a/src/libnet/kj_test.cpp
+++ b/src/libnet/kj_test.cpp
@@ -1,3 +1,5 @@
+/// \file
+/// Tests of kj byte streams on the libevent loop.
 #include <boost/test/unit_test.hpp>
 
 #include <damaskworks/loop.h>
@@ -6,7 +8,7 @@
 using namespace damask;
 using namespace std::chrono_literals;
 
-BOOST_AUTO_TEST_CASE(streamCarriesMoreThanTheWriteBuffer)
+BOOST_AUTO_TEST_CASE(streamAppliesBackPressureAndDeliversAllBytes)
 {
     Loop loop;
     KjLoop kjLoop(loop.base());
@@ -17,17 +19,17 @@
     BOOST_REQUIRE(loop.runUntil([&] { return accepted.get() != nullptr; }, 5s));
 
     const std::string sent(64 << 20, 'x');
-    bool written = false;
-    auto writing
-        = client->write(sent.data(), sent.size()).then([&] { written = true; }).eagerlyEvaluate(nullptr);
-    loop.runUntil([&] { return written; }, 100ms);
-    BOOST_TEST(!written); // back-pressure: nobody reads yet
+    bool isWritten = false;
+    auto writePromise
+        = client->write(sent.data(), sent.size()).then([&] { isWritten = true; }).eagerlyEvaluate(nullptr);
+    loop.runUntil([&] { return isWritten; }, 100ms);
+    BOOST_TEST(!isWritten); // Back-pressure: the other side does not read yet.
     std::string received(sent.size(), ' ');
     accepted->read(received.data(), received.size()).wait(kjLoop.waitScope());
     BOOST_TEST((received == sent));
-    BOOST_TEST(loop.runUntil([&] { return written; }, 5s));
+    BOOST_TEST(loop.runUntil([&] { return isWritten; }, 5s));
 
     client = nullptr;
-    char rest;
-    BOOST_TEST(accepted->tryRead(&rest, 1, 1).wait(kjLoop.waitScope()) == 0u);
+    char byteAfterEnd;
+    BOOST_TEST(accepted->tryRead(&byteAfterEnd, 1, 1).wait(kjLoop.waitScope()) == 0u);
 }
--- a/src/libnet/loop.cpp
+++ b/src/libnet/loop.cpp
@@ -12,9 +12,10 @@
         static_cast<suseconds_t>(time.count() % 1'000'000) };
 }
 
-/// A base that collects changes of interest in a socket and applies those that remain once a turn,
-/// which saves system calls for each request. Safe because no descriptor is duplicated.
-event_base* makeBase()
+/// Creates an event base with epoll's changelist: it merges the changes to a socket's events and applies them
+/// once per iteration, which saves system calls on each request. libevent forbids this mode if descriptors
+/// are duplicated; the process duplicates none.
+event_base* createEventBase()
 {
     auto* config = event_config_new();
     event_config_set_flag(config, EVENT_BASE_FLAG_EPOLL_USE_CHANGELIST);
@@ -27,7 +28,7 @@
 } // namespace
 
 Loop::Loop()
-    : m_base(makeBase())
+    : m_base(createEventBase())
 {
     if (!m_base)
         throw std::runtime_error("cannot create the event loop");
@@ -39,16 +40,17 @@
 
 void Loop::stop() { event_base_loopbreak(m_base); }
 
-bool Loop::runUntil(const std::function<bool()>& done, std::chrono::milliseconds limit)
+bool Loop::runUntil(const std::function<bool()>& done, std::chrono::milliseconds timeout)
 {
-    bool expired = false;
-    Timer timer(m_base, [&] { expired = true; });
-    timer.startOnce(limit);
-    // A loop whose callbacks keep making others active would not return for a single round.
-    constexpr std::chrono::milliseconds longestRound { 20 };
-    Timer pace(m_base, [this] { event_base_loopbreak(m_base); });
-    pace.startPeriodic(longestRound);
-    while (!done() && !expired)
+    bool isExpired = false;
+    Timer deadline(m_base, [&] { isExpired = true; });
+    deadline.startOnce(timeout);
+    // With callbacks that keep activating others, one event_base_loop() call might never return. This timer
+    // ends each call, so that the conditions are checked.
+    constexpr std::chrono::milliseconds maxIterationTime { 20 };
+    Timer iterationTimer(m_base, [this] { event_base_loopbreak(m_base); });
+    iterationTimer.startPeriodic(maxIterationTime);
+    while (!done() && !isExpired)
         event_base_loop(m_base, EVLOOP_ONCE);
     return done();
 }
