--- a/src/include/damaskworks/http.h
+++ b/src/include/damaskworks/http.h
@@ -1,5 +1,6 @@
 /// \file
-/// HTTP messages, the server (libevhtp) and the client (evhttp), all on one libevent loop.
+/// HTTP messages, the HTTP server (on libevhtp) and the HTTP client (on libevent's evhttp). All calls and
+/// callbacks run on the thread of one libevent loop. Sizes are in bytes.
 #pragma once
 
 #include <damaskworks/clock.h>
@@ -19,17 +20,17 @@
 
 namespace damask {
 
-/// Header fields in order; names compare without regard to case.
+/// Header fields in message order. Names are case-insensitive.
 using HttpHeaders = std::vector<std::pair<std::string, std::string>>;
 
-/// An address `ip:port`.
+/// An IPv4 address and a TCP port.
 struct Address {
     std::string ip;
     std::uint16_t port = 0;
     auto operator<=>(const Address&) const = default;
 };
 
-/// A request, whole.
+/// A complete request.
 struct HttpRequest {
     std::string method = "GET";
     std::string path; ///< without the query
@@ -38,7 +39,7 @@
     std::string body;
 };
 
-/// An answer, whole.
+/// A complete response.
 struct HttpResponse {
     int status = 200;
     HttpHeaders headers;
@@ -47,61 +48,63 @@
 
 namespace http {
 
-/// First value of the header \p name; nothing if absent.
+/// Returns the first value of the header field \p name, or nothing if it is absent.
 std::optional<std::string_view> header(const HttpHeaders& headers, std::string_view name);
-/// Value of the query parameter \p name; nothing if absent.
+/// Returns the percent-decoded value of the query parameter \p name, or nothing if it is absent.
 std::optional<std::string> queryValue(std::string_view query, std::string_view name);
 /// Percent-encodes \p text for use in a path or a query.
 std::string percentEncode(std::string_view text);
-/// Parses `ip:port`; nothing if malformed.
+/// Parses `ip:port`, with an IPv4 address. Returns nothing if \p text is malformed.
 std::optional<Address> parseAddress(std::string_view text);
 /// Formats `ip:port`.
 std::string toString(const Address& address);
-/// Whether the header concerns one connection only and is not passed on.
+/// Whether the header field \p name applies to one connection only and must not be forwarded. Content-Length
+/// is included, because each connection frames the body itself.
 bool isHopByHop(std::string_view name);
 
 } // namespace http
 
-/// Limits on what a peer may send.
+/// Limits on what the other side of a connection may send.
 struct HttpLimits {
     std::size_t bodyBytes = 4 * 1024 * 1024;
-    std::size_t headerBytes = 32 * 1024;
-    std::chrono::milliseconds idleTimeout { 60'000 }; ///< longest wait for the next byte
-    std::chrono::milliseconds requestTimeout {
-        30'000
-    }; ///< longest time from a request's first byte to its last
+    std::size_t maxHeaderBytes = 32 * 1024; ///< of a message's start line and header fields
+    /// Longest wait for the next byte.
+    std::chrono::milliseconds idleTimeout { 60'000 };
+    /// Longest time from a request's first byte to its last.
+    std::chrono::milliseconds requestTimeout { 30'000 };
 };
 
-/// A request being served. It stays valid after the caller has gone; replies are then dropped.
+/// A request being served, and its response. It stays valid after the caller has disconnected; responses are
+/// then dropped.
 class HttpExchange : public std::enable_shared_from_this<HttpExchange> {
 public:
     virtual ~HttpExchange() = default;
     virtual const HttpRequest& request() const = 0;
-    /// Sends the whole answer. Only the first call has an effect.
+    /// Sends the complete response. Only the first call has an effect.
     virtual void reply(HttpResponse response) = 0;
-    /// Starts a chunked answer that stays open until endStream().
+    /// Starts a chunked response, which stays open until endStream().
     virtual void startStream(int status, HttpHeaders headers) = 0;
-    /// Sends one chunk of a stream.
+    /// Sends one chunk of a chunked response.
     virtual void sendChunk(std::string_view data) = 0;
-    /// Bytes of the stream that are not yet written to the socket.
+    /// Number of response bytes that are not yet written to the socket.
     virtual std::size_t unsentBytes() const = 0;
-    /// Ends a stream.
+    /// Ends a chunked response.
     virtual void endStream() = 0;
-    /// Whether the caller is still connected and no answer was completed.
+    /// Whether the caller is still connected and the response is not complete.
     virtual bool isOpen() const = 0;
-    /// Calls \p callback once if the caller goes away before the answer is complete.
+    /// Calls \p callback once if the caller disconnects before the response is complete.
     virtual void onCallerGone(std::function<void()> callback) = 0;
 };
 
 using HttpHandler = std::function<void(std::shared_ptr<HttpExchange>)>;
 
-/// Errors of the HTTP layer.
+/// A failed network operation.
 struct NetError {
-    std::string detail;
+    std::string detail; ///< human-readable cause
 };
 
-/// HTTP server on one address. Broken or ambiguously framed requests are refused before the
-/// handler sees them.
+/// HTTP server on one address. It refuses malformed, ambiguously framed and oversized requests before they
+/// reach the handler.
 class HttpServer {
 public:
     HttpServer(event_base* base, HttpLimits limits, HttpHandler handler);
@@ -110,17 +113,17 @@
     HttpServer& operator=(const HttpServer&) = delete;
     /// Binds and listens; port 0 takes a free port. Returns the bound port.
     tl::expected<std::uint16_t, NetError> listen(const Address& address);
-    /// Stops accepting connections; requests in flight go on.
+    /// Stops accepting connections. Open connections stay open, and requests in progress continue.
     void stopAccepting();
-    /// Makes each answer from now on the last of its connection.
+    /// From now on, closes each connection after its next response.
     void startDraining();
-    /// Closes the connections that carry no request.
+    /// Closes the connections that have no request in progress and no response to send.
     void closeIdle();
-    /// Whether an answer is not yet written whole to its socket.
+    /// Whether any response is not yet completely written to its socket.
     bool isSending() const;
     /// Number of open connections.
     std::size_t connections() const;
-    /// Number of requests refused for broken or ambiguous framing or size.
+    /// Number of requests refused as malformed, ambiguously framed, too large or too slow.
     std::uint64_t refusedRequests() const;
 
     struct Impl;
@@ -131,27 +134,27 @@
 
 /// Why an attempt at a request failed.
 enum class HttpFailure {
-    Connect, ///< no connection was made
+    Connect, ///< no connection was established
     Timeout,
-    Disconnected, ///< the connection ended before a whole answer
-    BadResponse, ///< the answer is malformed, ambiguous or too large
+    Disconnected, ///< the connection closed before the response was complete
+    BadResponse, ///< the response is malformed, ambiguously framed or too large
     Cancelled,
 };
 
 /// A failed attempt.
 struct HttpClientError {
     HttpFailure failure = HttpFailure::Connect;
-    bool bytesSent = false; ///< whether any byte of the request may have left
+    bool bytesSent = false; ///< whether the client may have sent any byte of the request
 };
 
 using HttpResult = tl::expected<HttpResponse, HttpClientError>;
 using HttpCallback = std::function<void(HttpResult)>;
 
-/// Identifies an attempt for cancellation; 0 is never used.
+/// Identifies an attempt for cancellation. 0 is never assigned.
 using HttpAttemptId = std::uint64_t;
 
-/// HTTP client that keeps idle connections per address. Each connection carries one request at a
-/// time; a connection with unread bytes is closed and never used again.
+/// HTTP client that keeps idle connections per address for reuse. A connection carries one request at a time.
+/// The client closes a connection that has unread bytes, because they could be taken for the next response.
 class HttpClient {
 public:
     HttpClient(event_base* base, HttpLimits limits);
@@ -161,7 +164,7 @@
     /// Sends \p request; calls \p callback exactly once, never from within this call.
     HttpAttemptId send(const Address& address, const HttpRequest& request, std::chrono::milliseconds timeout,
         HttpCallback callback);
-    /// Gives up an attempt and closes its connection; its callback is not called.
+    /// Cancels an attempt and closes its connection. Does not call its callback.
     void cancel(HttpAttemptId attempt);
     /// Closes the idle connections to \p address.
     void closeIdle(const Address& address);
@@ -172,10 +175,12 @@
     std::unique_ptr<Impl> m_impl;
 };
 
-/// A GET whose answer is read line by line as it arrives, for watch streams.
+/// A GET request whose response is read line by line as it arrives, for watch streams. Destroying it closes
+/// the connection without a further callback.
 class HttpLineStream {
 public:
-    /// \p onLine gets each line without its end; \p onEnd is called once with the status (0: no answer).
+    /// Calls \p onLine with each line, without its line feed, and \p onEnd once at the end of the response
+    /// with the status, or with 0 if there was no response. An unterminated last line is passed too.
     HttpLineStream(event_base* base, const Address& address, const std::string& target,
         std::function<void(std::string_view)> onLine, std::function<void(int)> onEnd);
     ~HttpLineStream();
--- a/src/libnet/flush_pvt.h
+++ b/src/libnet/flush_pvt.h
@@ -1,14 +1,14 @@
 /// \file
-/// Writes a bufferevent's output at once.
+/// Writes the output of a bufferevent immediately.
 #pragma once
 
 struct bufferevent;
 
 namespace damask::net {
 
-/// Writes what is buffered straight to the socket and, if all of it is taken, reports it as written
-/// on the loop's next turn. It saves the round through the poller that a bufferevent otherwise takes
-/// for each write. What the socket does not take is written in the usual way.
-void flush(bufferevent* bev);
+/// Writes the buffered output of \p bev to the socket. If the socket accepts all of it, the write callback
+/// runs in the next iteration of the event loop. This saves the wait for the poller that a bufferevent
+/// otherwise needs for each write. The bufferevent writes any remainder in the usual way.
+void flushOutput(bufferevent* bev);
 
 } // namespace damask::net
--- a/src/libnet/http_chunk.cpp
+++ b/src/libnet/http_chunk.cpp
@@ -7,13 +7,13 @@
 namespace damask::http {
 namespace {
 
-using Place = ChunkFraming::Place;
+using State = ChunkParser::State;
 
-/// Hexadecimal digits that any 64-bit number holds.
-constexpr int mostDigits = 15;
+/// Longest accepted chunk size, in hexadecimal digits. 15 digits always fit in 64 bits.
+constexpr int maxSizeDigits = 15;
 constexpr std::uint64_t hexBase = 16;
 
-int digitOf(char byte)
+int hexDigitValue(char byte)
 {
     if (byte >= '0' && byte <= '9')
         return byte - '0';
@@ -21,62 +21,62 @@
     return lower >= 'a' && lower <= 'f' ? lower - 'a' + 10 : -1;
 }
 
-Place followSize(ChunkFraming& framing, char byte)
+State parseSizeByte(ChunkParser& parser, char byte)
 {
-    if (const int digit = digitOf(byte); digit >= 0) {
-        framing.left = framing.left * hexBase + static_cast<std::uint64_t>(digit);
-        return ++framing.digits > mostDigits ? Place::Broken : Place::Size;
+    if (const int digit = hexDigitValue(byte); digit >= 0) {
+        parser.remainingBytes = parser.remainingBytes * hexBase + static_cast<std::uint64_t>(digit);
+        return ++parser.sizeDigits > maxSizeDigits ? State::Invalid : State::Size;
     }
-    if (framing.digits == 0)
-        return Place::Broken;
+    if (parser.sizeDigits == 0)
+        return State::Invalid;
     if (byte == '\r')
-        return Place::SizeEnd;
-    return byte == ';' || byte == ' ' || byte == '\t' ? Place::Extension : Place::Broken;
+        return State::SizeEnd;
+    return byte == ';' || byte == ' ' || byte == '\t' ? State::Extension : State::Invalid;
 }
 
-Place nextPlace(ChunkFraming& framing, char byte)
+State nextState(ChunkParser& parser, char byte)
 {
-    switch (framing.place) {
-    case Place::Size:
-        return followSize(framing, byte);
-    case Place::Extension:
-        return byte == '\r' ? Place::SizeEnd : byte == '\n' ? Place::Broken : Place::Extension;
-    case Place::SizeEnd:
+    switch (parser.state) {
+    case State::Size:
+        return parseSizeByte(parser, byte);
+    case State::Extension:
+        return byte == '\r' ? State::SizeEnd : byte == '\n' ? State::Invalid : State::Extension;
+    case State::SizeEnd:
         if (byte != '\n')
-            return Place::Broken;
-        framing.digits = 0;
-        return framing.left == 0 ? Place::TrailerStart : Place::Data;
-    case Place::DataEnd:
-        return byte == '\r' ? Place::DataEnd : byte == '\n' ? Place::Size : Place::Broken;
-    case Place::TrailerStart:
-        return byte == '\n' ? Place::Over : byte == '\r' ? Place::TrailerStart : Place::Trailer;
-    case Place::Trailer:
-        return byte == '\n' ? Place::TrailerStart : Place::Trailer;
-    case Place::Data:
-    case Place::Over:
-    case Place::Broken:
+            return State::Invalid;
+        parser.sizeDigits = 0;
+        return parser.remainingBytes == 0 ? State::TrailerLineStart : State::Data;
+    case State::DataEnd:
+        return byte == '\r' ? State::DataEnd : byte == '\n' ? State::Size : State::Invalid;
+    case State::TrailerLineStart:
+        return byte == '\n' ? State::Complete : byte == '\r' ? State::TrailerLineStart : State::TrailerLine;
+    case State::TrailerLine:
+        return byte == '\n' ? State::TrailerLineStart : State::TrailerLine;
+    case State::Data:
+    case State::Complete:
+    case State::Invalid:
         break;
     }
-    return framing.place;
+    return parser.state;
 }
 
 } // namespace
 
-bool follow(ChunkFraming& framing, std::string_view bytes)
+bool parseChunks(ChunkParser& parser, std::string_view bytes)
 {
-    while (!bytes.empty() && framing.place != Place::Over && framing.place != Place::Broken) {
-        if (framing.place == Place::Data) {
-            const auto taken = std::min<std::uint64_t>(framing.left, bytes.size());
-            bytes.remove_prefix(static_cast<std::size_t>(taken));
-            framing.left -= taken;
-            if (framing.left == 0)
-                framing.place = Place::DataEnd;
+    while (!bytes.empty() && parser.state != State::Complete && parser.state != State::Invalid) {
+        if (parser.state == State::Data) {
+            const auto consumed = std::min<std::uint64_t>(parser.remainingBytes, bytes.size());
+            bytes.remove_prefix(static_cast<std::size_t>(consumed));
+            parser.remainingBytes -= consumed;
+            if (parser.remainingBytes == 0)
+                parser.state = State::DataEnd;
             continue;
         }
-        framing.place = nextPlace(framing, bytes.front());
+        parser.state = nextState(parser, bytes.front());
         bytes.remove_prefix(1);
     }
-    return framing.place != Place::Broken;
+    return parser.state != State::Invalid;
 }
 
 bool isChunked(std::string_view head)
--- a/src/libnet/http_client.cpp
+++ b/src/libnet/http_client.cpp
@@ -16,7 +16,7 @@
 namespace damask {
 namespace {
 
-constexpr std::size_t maxIdlePerAddress = 64;
+constexpr std::size_t maxIdleConnectionsPerAddress = 64;
 
 struct MethodName {
     evhttp_cmd_type command;
@@ -26,7 +26,7 @@
     { EVHTTP_REQ_PUT, "PUT" }, { EVHTTP_REQ_DELETE, "DELETE" }, { EVHTTP_REQ_HEAD, "HEAD" },
     { EVHTTP_REQ_PATCH, "PATCH" }, { EVHTTP_REQ_OPTIONS, "OPTIONS" } };
 
-evhttp_cmd_type commandFor(std::string_view method)
+evhttp_cmd_type toCommand(std::string_view method)
 {
     for (const auto& entry : methodNames) {
         if (entry.name == method)
@@ -41,41 +41,44 @@
         static_cast<suseconds_t>(time.count() % 1'000'000) };
 }
 
-bool isLength(std::string_view text)
+/// Whether \p text is a valid Content-Length. A number of up to 18 digits always fits in 64 bits.
+bool isContentLength(std::string_view text)
 {
     return !text.empty() && text.size() < 19
         && text.find_first_not_of("0123456789") == std::string_view::npos;
 }
 
-/// Whether the end of the body is marked and can be read in one way only. An answer that ends with
-/// the connection can't be told from a truncated one.
-bool isFramedOnce(const evkeyvalq* headers, int status, bool headRequest)
+/// Whether the header fields delimit the body in exactly one way. A body that ends only when the connection
+/// closes is refused: it can't be told from a truncated one.
+bool hasUnambiguousFraming(const evkeyvalq* headers, int status, bool isHeadRequest)
 {
     int framings = 0;
     for (const evkeyval* header = headers->tqh_first; header; header = header->next.tqe_next) {
-        const bool length = strcasecmp(header->key, "content-length") == 0;
-        const bool encoding = strcasecmp(header->key, "transfer-encoding") == 0;
-        if ((length && !isLength(header->value)) || (encoding && strcasecmp(header->value, "chunked") != 0))
+        const bool isLength = strcasecmp(header->key, "content-length") == 0;
+        const bool isEncoding = strcasecmp(header->key, "transfer-encoding") == 0;
+        if ((isLength && !isContentLength(header->value))
+            || (isEncoding && strcasecmp(header->value, "chunked") != 0))
             return false;
-        framings += length || encoding;
+        framings += isLength || isEncoding;
     }
     if (framings == 1)
         return true;
-    return framings == 0 && (headRequest || status == 204 || status == 304);
+    return framings == 0 && (isHeadRequest || status == 204 || status == 304);
 }
 
-/// What waits to be read on a connection that carries no request.
-enum class Unread { Nothing, Bytes, End };
+/// Unread input of a connection that carries no request.
+enum class UnreadInput { None, Bytes, EndOfStream };
 
-Unread unreadOf(bufferevent* bev)
+UnreadInput unreadInput(bufferevent* bev)
 {
     if (evbuffer_get_length(bufferevent_get_input(bev)) > 0)
-        return Unread::Bytes;
+        return UnreadInput::Bytes;
     char byte = 0;
-    const auto got = recv(bufferevent_getfd(bev), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-    if (got > 0)
-        return Unread::Bytes;
-    return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK) ? Unread::Nothing : Unread::End;
+    const auto received = recv(bufferevent_getfd(bev), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+    if (received > 0)
+        return UnreadInput::Bytes;
+    return received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK) ? UnreadInput::None
+                                                                     : UnreadInput::EndOfStream;
 }
 
 } // namespace
@@ -86,17 +89,17 @@
         Address address;
     };
     struct Attempt {
-        Impl* owner = nullptr;
+        Impl* client = nullptr;
         HttpAttemptId id = 0;
         Connection connection;
         evhttp_request* raw = nullptr;
-        evbuffer_cb_entry* sentWatch = nullptr;
+        evbuffer_cb_entry* outputCallback = nullptr; ///< sets hasSentBytes
         event* timer = nullptr;
         HttpCallback callback;
         HttpFailure failure = HttpFailure::Connect;
-        bool bytesSent = false;
-        bool strayBytes = false; ///< bytes came before the request was sent
-        bool head = false;
+        bool hasSentBytes = false;
+        bool hasUnsolicitedBytes = false; ///< whether bytes arrived before the request was sent
+        bool isHeadRequest = false;
     };
 
     event_base* base;
@@ -104,11 +107,11 @@
     HttpAttemptId nextId = 1;
     std::unordered_map<HttpAttemptId, std::unique_ptr<Attempt>> attempts;
     std::map<Address, std::list<evhttp_connection*>> idle;
-    std::set<Address> distrusted;
-    std::vector<evhttp_connection*> discarded;
+    std::set<Address> unsolicitedSenders; ///< addresses that have sent bytes without a request
+    std::vector<evhttp_connection*> discarded; ///< connections that wait for freeDiscarded()
     event* discardEvent = nullptr;
 
-    /// A connection can't be freed inside its own callback, so it is freed on the next turn.
+    /// Frees the connection in the next iteration of the loop: it can't be freed inside its own callback.
     void discard(evhttp_connection* connection)
     {
         evhttp_connection_set_closecb(connection, nullptr, nullptr);
@@ -139,17 +142,18 @@
         }
     }
 
-    /// Whether nothing waits to be read. An address that sends bytes without a request is distrusted
-    /// from then on: its connections carry one request each.
-    bool isQuiet(const Address& address, bufferevent* bev)
+    /// Whether the connection has no unread input. From the first time that an address sends bytes without a
+    /// request, its connections carry one request each, so that such bytes can't be taken for a response.
+    bool checkNoUnreadInput(const Address& address, bufferevent* bev)
     {
-        const auto unread = unreadOf(bev);
-        if (unread == Unread::Bytes)
-            distrusted.insert(address);
-        return unread == Unread::Nothing;
+        const auto input = unreadInput(bev);
+        if (input == UnreadInput::Bytes)
+            unsolicitedSenders.insert(address);
+        return input == UnreadInput::None;
     }
 
-    evhttp_connection* takeIdle(const Address& address)
+    /// Returns an idle connection to \p address that can be reused, or null.
+    evhttp_connection* takeIdleConnection(const Address& address)
     {
         auto found = idle.find(address);
         if (found == idle.end())
@@ -159,43 +163,45 @@
             found->second.pop_back();
             evhttp_connection_set_closecb(connection, nullptr, nullptr);
             auto* bev = evhttp_connection_get_bufferevent(connection);
-            if (isQuiet(address, bev))
+            if (checkNoUnreadInput(address, bev))
                 return connection;
             discard(connection);
         }
         return nullptr;
     }
 
-    evhttp_connection* open(const Address& address)
+    evhttp_connection* createConnection(const Address& address)
     {
         auto* connection = evhttp_connection_base_bufferevent_new(
             base, nullptr, nullptr, address.ip.c_str(), address.port);
         evhttp_connection_set_max_body_size(connection, static_cast<ev_ssize_t>(limits.bodyBytes));
-        evhttp_connection_set_max_headers_size(connection, static_cast<ev_ssize_t>(limits.headerBytes));
+        evhttp_connection_set_max_headers_size(connection, static_cast<ev_ssize_t>(limits.maxHeaderBytes));
         return connection;
     }
 
-    void release(Connection& connection, bool reusable)
+    /// Keeps the connection for reuse or discards it.
+    void releaseConnection(Connection& connection, bool isReusable)
     {
         auto* bev = evhttp_connection_get_bufferevent(connection.raw);
-        auto& kept = idle[connection.address];
-        if (!reusable || kept.size() >= maxIdlePerAddress || !isQuiet(connection.address, bev)
-            || distrusted.contains(connection.address)) {
+        auto& idleConnections = idle[connection.address];
+        if (!isReusable || idleConnections.size() >= maxIdleConnectionsPerAddress
+            || !checkNoUnreadInput(connection.address, bev)
+            || unsolicitedSenders.contains(connection.address)) {
             discard(connection.raw);
             return;
         }
         evhttp_connection_set_closecb(connection.raw, onIdleClosed, this);
-        kept.push_back(connection.raw);
+        idleConnections.push_back(connection.raw);
     }
 
     static void onOutput(evbuffer*, const evbuffer_cb_info* info, void* argument)
     {
         auto& attempt = *static_cast<Attempt*>(argument);
-        if (info->n_deleted == 0 || attempt.bytesSent)
+        if (info->n_deleted == 0 || attempt.hasSentBytes)
             return;
-        attempt.bytesSent = true;
+        attempt.hasSentBytes = true;
         auto* bev = evhttp_connection_get_bufferevent(attempt.connection.raw);
-        attempt.strayBytes = evbuffer_get_length(bufferevent_get_input(bev)) > 0;
+        attempt.hasUnsolicitedBytes = evbuffer_get_length(bufferevent_get_input(bev)) > 0;
     }
 
     static void onError(evhttp_request_error error, void* argument)
@@ -221,25 +227,25 @@
     static void onTimeout(evutil_socket_t, short, void* argument)
     {
         auto& attempt = *static_cast<Attempt*>(argument);
-        attempt.owner->finish(attempt.id,
-            tl::make_unexpected(HttpClientError { HttpFailure::Timeout, attempt.bytesSent }), true);
+        attempt.client->finish(attempt.id,
+            tl::make_unexpected(HttpClientError { HttpFailure::Timeout, attempt.hasSentBytes }), true);
     }
 
     static void onDone(evhttp_request* request, void* argument)
     {
         auto& attempt = *static_cast<Attempt*>(argument);
-        auto& impl = *attempt.owner;
-        attempt.raw = nullptr; // the library frees it after this callback
+        auto& impl = *attempt.client;
+        attempt.raw = nullptr; // libevent frees the request after this callback.
         const int status = request ? evhttp_request_get_response_code(request) : 0;
         if (status == 0) {
-            if (!attempt.bytesSent)
+            if (!attempt.hasSentBytes)
                 attempt.failure = HttpFailure::Connect;
             impl.finish(attempt.id,
-                tl::make_unexpected(HttpClientError { attempt.failure, attempt.bytesSent }), false);
+                tl::make_unexpected(HttpClientError { attempt.failure, attempt.hasSentBytes }), false);
             return;
         }
         const auto* headers = evhttp_request_get_input_headers(request);
-        if (attempt.strayBytes || !isFramedOnce(headers, status, attempt.head)) {
+        if (attempt.hasUnsolicitedBytes || !hasUnambiguousFraming(headers, status, attempt.isHeadRequest)) {
             impl.finish(
                 attempt.id, tl::make_unexpected(HttpClientError { HttpFailure::BadResponse, true }), false);
             return;
@@ -252,33 +258,35 @@
         response.body.resize(evbuffer_get_length(body));
         evbuffer_copyout(body, response.body.data(), response.body.size());
         const auto connectionHeader = http::header(response.headers, "connection");
-        const bool closes
+        const bool willClose
             = connectionHeader && strcasecmp(std::string(*connectionHeader).c_str(), "close") == 0;
-        impl.finish(attempt.id, std::move(response), false, !closes);
+        impl.finish(attempt.id, std::move(response), false, !willClose);
     }
 
-    void finish(HttpAttemptId id, HttpResult result, bool cancelRequest, bool reusable = false)
+    /// Ends the attempt and calls its callback. If \p shouldCancel, also cancels its request in libevent.
+    void finish(HttpAttemptId id, HttpResult result, bool shouldCancel, bool isReusable = false)
     {
         auto found = attempts.find(id);
         if (found == attempts.end())
             return;
         auto attempt = std::move(found->second);
         attempts.erase(found);
-        dispose(*attempt, cancelRequest, reusable);
+        cleanUp(*attempt, shouldCancel, isReusable);
         if (attempt->callback)
             attempt->callback(std::move(result));
     }
 
-    void dispose(Attempt& attempt, bool cancelRequest, bool reusable)
+    /// Frees what belongs to the attempt and releases its connection.
+    void cleanUp(Attempt& attempt, bool shouldCancel, bool isReusable)
     {
         event_free(attempt.timer);
         auto* bev = evhttp_connection_get_bufferevent(attempt.connection.raw);
-        evbuffer_remove_cb_entry(bufferevent_get_output(bev), attempt.sentWatch);
-        if (cancelRequest && attempt.raw) {
+        evbuffer_remove_cb_entry(bufferevent_get_output(bev), attempt.outputCallback);
+        if (shouldCancel && attempt.raw) {
             evhttp_request_set_error_cb(attempt.raw, nullptr);
             evhttp_cancel_request(attempt.raw);
         }
-        release(attempt.connection, reusable);
+        releaseConnection(attempt.connection, isReusable);
     }
 };
 
@@ -306,17 +314,17 @@
     auto& impl = *m_impl;
     auto owned = std::make_unique<Impl::Attempt>();
     auto& attempt = *owned;
-    attempt.owner = &impl;
+    attempt.client = &impl;
     attempt.id = impl.nextId++;
     attempt.callback = std::move(callback);
-    attempt.head = request.method == "HEAD";
-    auto* connection = impl.takeIdle(address);
-    const bool reused = connection != nullptr;
+    attempt.isHeadRequest = request.method == "HEAD";
+    auto* connection = impl.takeIdleConnection(address);
+    const bool isReused = connection != nullptr;
     if (!connection)
-        connection = impl.open(address);
+        connection = impl.createConnection(address);
     attempt.connection = { connection, address };
     auto* bev = evhttp_connection_get_bufferevent(connection);
-    attempt.sentWatch = evbuffer_add_cb(bufferevent_get_output(bev), Impl::onOutput, &attempt);
+    attempt.outputCallback = evbuffer_add_cb(bufferevent_get_output(bev), Impl::onOutput, &attempt);
     attempt.timer = event_new(impl.base, -1, 0, Impl::onTimeout, &attempt);
     const auto limit = toTimeval(timeout);
     event_add(attempt.timer, &limit);
@@ -335,15 +343,16 @@
     const auto id = attempt.id;
     impl.attempts.emplace(id, std::move(owned));
     auto* raw = attempt.raw;
-    // On failure the library has freed the request; the attempt then ends at its timer.
-    if (evhttp_make_request(connection, raw, commandFor(request.method), target.c_str()) != 0) {
+    // On failure libevent has already freed the request. The attempt's timer then ends the attempt as a
+    // timeout.
+    if (evhttp_make_request(connection, raw, toCommand(request.method), target.c_str()) != 0) {
         auto found = impl.attempts.find(id);
         if (found != impl.attempts.end()) {
             found->second->raw = nullptr;
             event_active(found->second->timer, EV_TIMEOUT, 0);
         }
-    } else if (reused) {
-        net::flush(bev);
+    } else if (isReused) {
+        net::flushOutput(bev);
     }
     return id;
 }
--- a/src/libnet/http_head.cpp
+++ b/src/libnet/http_head.cpp
@@ -18,31 +18,31 @@
 
 bool isTokenByte(char byte)
 {
-    const bool letter = (byte >= 'a' && byte <= 'z') || (byte >= 'A' && byte <= 'Z');
-    const bool digit = byte >= '0' && byte <= '9';
-    return letter || digit
+    const bool isLetter = (byte >= 'a' && byte <= 'z') || (byte >= 'A' && byte <= 'Z');
+    const bool isDigit = byte >= '0' && byte <= '9';
+    return isLetter || isDigit
         || (byte != '\0' && std::string_view("!#$%&'*+-.^_`|~").find(byte) != std::string_view::npos);
 }
 
-int refusalOfRequestLine(std::string_view line)
+int requestLineRefusalStatus(std::string_view line)
 {
-    const auto first = line.find(' ');
-    const auto last = line.rfind(' ');
-    if (first == std::string_view::npos || first == last)
+    const auto firstSpace = line.find(' ');
+    const auto lastSpace = line.rfind(' ');
+    if (firstSpace == std::string_view::npos || firstSpace == lastSpace)
         return badRequest;
-    const auto target = line.substr(first + 1, last - first - 1);
-    const auto version = line.substr(last + 1);
+    const auto target = line.substr(firstSpace + 1, lastSpace - firstSpace - 1);
+    const auto version = line.substr(lastSpace + 1);
     if (!target.starts_with('/') || target.find_first_of(" \t#") != std::string_view::npos)
         return badRequest;
     if (version != "HTTP/1.1" && version != "HTTP/1.0")
         return version.starts_with("HTTP/") ? versionNotSupported : badRequest;
-    const auto method = line.substr(0, first);
+    const auto method = line.substr(0, firstSpace);
     return std::find(forwardableMethods.begin(), forwardableMethods.end(), method) == forwardableMethods.end()
         ? notImplemented
         : 0;
 }
 
-bool isField(std::string_view line)
+bool isHeaderField(std::string_view line)
 {
     const auto name = line.substr(0, line.find(':'));
     return !name.empty() && name.size() < line.size() && std::all_of(name.begin(), name.end(), isTokenByte);
@@ -50,54 +50,55 @@
 
 } // namespace
 
-std::size_t append(RequestHead& head, std::string_view bytes)
+std::size_t appendToHead(RequestHead& head, std::string_view bytes)
 {
-    if (head.complete)
+    if (head.isComplete)
         return bytes.size();
-    const auto searched = head.text.size() < headEnd.size() ? 0 : head.text.size() - headEnd.size();
+    const auto searchStart = head.text.size() < headEnd.size() ? 0 : head.text.size() - headEnd.size();
     head.text += bytes;
-    // Empty lines before a request are ignored (RFC 9112, section 2.2).
-    while (searched == 0 && head.text.starts_with(lineEnd))
+    // Ignores empty lines before a request (RFC 9112, section 2.2).
+    while (searchStart == 0 && head.text.starts_with(lineEnd))
         head.text.erase(0, lineEnd.size());
-    const auto end = head.text.find(headEnd, searched);
+    const auto end = head.text.find(headEnd, searchStart);
     if (end == std::string::npos)
         return 0;
-    const auto beyond = head.text.size() - end - headEnd.size();
+    const auto excess = head.text.size() - end - headEnd.size();
     head.text.resize(end + headEnd.size());
-    head.complete = true;
-    return beyond;
+    head.isComplete = true;
+    return excess;
 }
 
-int refusalOf(const RequestHead& head)
+int headRefusalStatus(const RequestHead& head)
 {
-    std::string_view rest = head.text;
-    bool first = true;
-    while (!rest.empty()) {
-        const auto end = rest.find(lineEnd);
-        const auto line = rest.substr(0, end);
-        rest.remove_prefix(end == std::string_view::npos ? rest.size() : end + lineEnd.size());
+    std::string_view remaining = head.text;
+    bool isRequestLine = true;
+    while (!remaining.empty()) {
+        const auto end = remaining.find(lineEnd);
+        const auto line = remaining.substr(0, end);
+        remaining.remove_prefix(end == std::string_view::npos ? remaining.size() : end + lineEnd.size());
         if (std::any_of(line.begin(), line.end(), isControl))
             return badRequest;
-        if (first) {
-            if (const int status = refusalOfRequestLine(line))
+        if (isRequestLine) {
+            if (const int status = requestLineRefusalStatus(line))
                 return status;
-        } else if (!line.empty() && !isField(line)) {
+        } else if (!line.empty() && !isHeaderField(line)) {
             return badRequest;
         }
-        first = false;
+        isRequestLine = false;
     }
     return 0;
 }
 
-std::string_view targetOf(const RequestHead& head)
+std::string_view requestTarget(const RequestHead& head)
 {
     const auto line = std::string_view(head.text).substr(0, head.text.find(lineEnd));
-    const auto first = line.find(' ');
-    const auto last = line.rfind(' ');
-    return first == last ? std::string_view() : line.substr(first + 1, last - first - 1);
+    const auto firstSpace = line.find(' ');
+    const auto lastSpace = line.rfind(' ');
+    return firstSpace == lastSpace ? std::string_view()
+                                   : line.substr(firstSpace + 1, lastSpace - firstSpace - 1);
 }
 
-bool needsHost(const RequestHead& head)
+bool requiresHost(const RequestHead& head)
 {
     return std::string_view(head.text).substr(0, head.text.find(lineEnd)).ends_with("HTTP/1.1");
 }
--- a/src/libnet/http_line_stream.cpp
+++ b/src/libnet/http_line_stream.cpp
@@ -10,15 +10,16 @@
     std::function<void(std::string_view)> onLine;
     std::function<void(int)> onEnd;
     evhttp_connection* connection = nullptr;
-    std::string buffered;
-    bool ended = false;
+    std::string buffered; ///< received bytes that are not yet a whole line
+    bool isEnded = false; ///< whether onEnd has been called or the stream is being destroyed
 
-    void take(evbuffer* input)
+    /// Moves \p input to the buffer and passes on its whole lines.
+    void readLines(evbuffer* input)
     {
         const auto length = evbuffer_get_length(input);
-        const auto before = buffered.size();
-        buffered.resize(before + length);
-        evbuffer_remove(input, buffered.data() + before, length);
+        const auto oldSize = buffered.size();
+        buffered.resize(oldSize + length);
+        evbuffer_remove(input, buffered.data() + oldSize, length);
         std::size_t start = 0;
         for (auto end = buffered.find('\n'); end != std::string::npos; end = buffered.find('\n', start)) {
             onLine(std::string_view(buffered).substr(start, end - start));
@@ -29,18 +30,18 @@
 
     static void onChunk(evhttp_request* request, void* argument)
     {
-        static_cast<Impl*>(argument)->take(evhttp_request_get_input_buffer(request));
+        static_cast<Impl*>(argument)->readLines(evhttp_request_get_input_buffer(request));
     }
 
     static void onDone(evhttp_request* request, void* argument)
     {
         auto& impl = *static_cast<Impl*>(argument);
-        if (impl.ended)
+        if (impl.isEnded)
             return;
-        impl.ended = true;
+        impl.isEnded = true;
         const int status = request ? evhttp_request_get_response_code(request) : 0;
         if (request)
-            impl.take(evhttp_request_get_input_buffer(request));
+            impl.readLines(evhttp_request_get_input_buffer(request));
         if (!impl.buffered.empty())
             impl.onLine(impl.buffered);
         impl.onEnd(status);
@@ -61,7 +62,7 @@
 
 HttpLineStream::~HttpLineStream()
 {
-    m_impl->ended = true;
+    m_impl->isEnded = true;
     evhttp_connection_free(m_impl->connection);
 }
 
--- a/src/libnet/http_message.cpp
+++ b/src/libnet/http_message.cpp
@@ -9,7 +9,7 @@
 namespace damask::http {
 namespace {
 
-bool sameName(std::string_view a, std::string_view b)
+bool equalsIgnoringCase(std::string_view a, std::string_view b)
 {
     return a.size() == b.size() && strncasecmp(a.data(), b.data(), a.size()) == 0;
 }
@@ -20,9 +20,9 @@
     char* decoded = evhttp_uridecode(std::string(text).c_str(), 1, &length);
     if (!decoded)
         return {};
-    std::string out(decoded, length);
+    std::string result(decoded, length);
     free(decoded);
-    return out;
+    return result;
 }
 
 } // namespace
@@ -30,7 +30,7 @@
 std::optional<std::string_view> header(const HttpHeaders& headers, std::string_view name)
 {
     for (const auto& [candidate, value] : headers) {
-        if (sameName(candidate, name))
+        if (equalsIgnoringCase(candidate, name))
             return value;
     }
     return std::nullopt;
@@ -52,9 +52,9 @@
 std::string percentEncode(std::string_view text)
 {
     char* encoded = evhttp_uriencode(text.data(), static_cast<ev_ssize_t>(text.size()), 0);
-    std::string out = encoded ? encoded : "";
+    std::string result = encoded ? encoded : "";
     free(encoded);
-    return out;
+    return result;
 }
 
 std::optional<Address> parseAddress(std::string_view text)
@@ -62,14 +62,14 @@
     const auto colon = text.rfind(':');
     if (colon == std::string_view::npos)
         return std::nullopt;
-    Address out { std::string(text.substr(0, colon)), 0 };
+    Address result { std::string(text.substr(0, colon)), 0 };
     const auto digits = text.substr(colon + 1);
-    const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), out.port);
+    const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), result.port);
     in_addr parsed {};
     if (error != std::errc() || end != digits.data() + digits.size()
-        || inet_pton(AF_INET, out.ip.c_str(), &parsed) != 1)
+        || inet_pton(AF_INET, result.ip.c_str(), &parsed) != 1)
         return std::nullopt;
-    return out;
+    return result;
 }
 
 std::string toString(const Address& address) { return address.ip + ":" + std::to_string(address.port); }
@@ -80,7 +80,7 @@
         "proxy-authenticate", "proxy-authorization", "te", "trailer", "transfer-encoding", "upgrade",
         "content-length" };
     for (auto candidate : hopByHopNames) {
-        if (sameName(candidate, name))
+        if (equalsIgnoringCase(candidate, name))
             return true;
     }
     return false;
--- a/src/libnet/http_server.cpp
+++ b/src/libnet/http_server.cpp
@@ -18,8 +18,8 @@
 namespace damask {
 namespace {
 
-/// libevhtp takes every hook as one function type, whatever its parameters are.
-template <typename Function> evhtp_hook asHook(Function function)
+/// Casts a callback to evhtp_hook: libevhtp passes all hooks as this one type, whatever their parameters are.
+template <typename Function> evhtp_hook toHook(Function function)
 {
     return reinterpret_cast<evhtp_hook>(reinterpret_cast<void*>(function));
 }
@@ -31,7 +31,7 @@
     return { static_cast<time_t>(time.count() / 1000), static_cast<suseconds_t>(time.count() % 1000 * 1000) };
 }
 
-const char* reasonFor(int status)
+const char* reasonPhrase(int status)
 {
     switch (status) {
     case 400:
@@ -51,17 +51,19 @@
     }
 }
 
-struct HeaderCheck {
-    std::size_t bytes = 0;
-    int contentLengths = 0;
-    int transferEncodings = 0;
-    int hosts = 0;
-    bool badContentLength = false;
-    bool badTransferEncoding = false;
+/// What the server has found in the header fields of a request.
+struct HeaderSummary {
+    std::size_t bytes = 0; ///< of all names and values
+    int contentLengthFields = 0;
+    int transferEncodingFields = 0;
+    int hostFields = 0;
+    bool hasInvalidContentLength = false;
+    bool hasUnsupportedTransferEncoding = false;
     std::uint64_t contentLength = 0;
 };
 
-bool isDigits(const char* text, std::size_t length)
+/// Whether \p text is a valid Content-Length. A number of up to 18 digits always fits in 64 bits.
+bool isContentLength(const char* text, std::size_t length)
 {
     for (std::size_t i = 0; i < length; ++i) {
         if (text[i] < '0' || text[i] > '9')
@@ -70,56 +72,59 @@
     return length > 0 && length < 19;
 }
 
-int inspectHeader(evhtp_kv_t* kv, void* argument)
+/// Adds one header field to the HeaderSummary \p argument.
+int addToSummary(evhtp_kv_t* kv, void* argument)
 {
-    auto& check = *static_cast<HeaderCheck*>(argument);
-    check.bytes += kv->klen + kv->vlen;
+    auto& summary = *static_cast<HeaderSummary*>(argument);
+    summary.bytes += kv->klen + kv->vlen;
     if (strcasecmp(kv->key, "content-length") == 0) {
-        ++check.contentLengths;
-        check.badContentLength = check.badContentLength || !isDigits(kv->val, kv->vlen);
-        if (!check.badContentLength)
-            check.contentLength = std::strtoull(kv->val, nullptr, 10);
+        ++summary.contentLengthFields;
+        summary.hasInvalidContentLength
+            = summary.hasInvalidContentLength || !isContentLength(kv->val, kv->vlen);
+        if (!summary.hasInvalidContentLength)
+            summary.contentLength = std::strtoull(kv->val, nullptr, 10);
     }
     if (strcasecmp(kv->key, "transfer-encoding") == 0) {
-        ++check.transferEncodings;
-        check.badTransferEncoding = check.badTransferEncoding || strcasecmp(kv->val, "chunked") != 0;
+        ++summary.transferEncodingFields;
+        summary.hasUnsupportedTransferEncoding
+            = summary.hasUnsupportedTransferEncoding || strcasecmp(kv->val, "chunked") != 0;
     }
     if (strcasecmp(kv->key, "host") == 0)
-        ++check.hosts;
+        ++summary.hostFields;
     return 0;
 }
 
-/// Status with which a request's headers are refused, or 0. A request whose length can be read in
-/// two ways is refused, because what follows it could be taken as another request.
-int refusalStatus(const HeaderCheck& check, const HttpLimits& limits)
+/// Returns the status with which the server refuses a request with these header fields, or 0. A request with
+/// an ambiguous body length is refused, because the bytes after it could be taken for another request.
+int headerRefusalStatus(const HeaderSummary& summary, const HttpLimits& limits)
 {
-    if (check.bytes > limits.headerBytes)
+    if (summary.bytes > limits.maxHeaderBytes)
         return 431;
-    if (check.contentLengths > 1 || check.badContentLength || check.hosts > 1)
+    if (summary.contentLengthFields > 1 || summary.hasInvalidContentLength || summary.hostFields > 1)
         return 400;
-    if (check.transferEncodings > 0 && check.contentLengths > 0)
+    if (summary.transferEncodingFields > 0 && summary.contentLengthFields > 0)
         return 400;
-    if (check.transferEncodings > 1 || check.badTransferEncoding)
+    if (summary.transferEncodingFields > 1 || summary.hasUnsupportedTransferEncoding)
         return 501;
-    if (check.contentLength > limits.bodyBytes)
+    if (summary.contentLength > limits.bodyBytes)
         return 413;
     return 0;
 }
 
-/// Writes a refusal straight to the socket: the connection is freed right after, with whatever is
-/// still buffered in it.
+/// Writes the refusal directly to the socket: the connection is freed right after this call, and its buffered
+/// output is lost with it.
 void sendRefusal(evhtp_connection_t* connection, int status)
 {
-    const std::string body = std::string("{\"error\":\"request refused\",\"reason\":\"") + reasonFor(status)
-        + "\",\"outcome\":\"not_run\"}\n";
-    const std::string answer = "HTTP/1.1 " + std::to_string(status) + " " + reasonFor(status)
+    const std::string body = std::string("{\"error\":\"request refused\",\"reason\":\"")
+        + reasonPhrase(status) + "\",\"outcome\":\"not_run\"}\n";
+    const std::string response = "HTTP/1.1 " + std::to_string(status) + " " + reasonPhrase(status)
         + "\r\nContent-Type: application/json\r\nDamask-Outcome: not-run\r\nConnection: "
           "close\r\nContent-Length: "
         + std::to_string(body.size()) + "\r\n\r\n" + body;
     if (evbuffer_get_length(bufferevent_get_output(connection->bev)) > 0)
-        return; // an earlier answer is still being sent
+        return; // A previous response is still being sent.
     const auto fd = bufferevent_getfd(connection->bev);
-    [[maybe_unused]] auto sent = ::send(fd, answer.data(), answer.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
+    [[maybe_unused]] auto sent = ::send(fd, response.data(), response.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
     ::shutdown(fd, SHUT_WR);
 }
 
@@ -142,144 +147,149 @@
     HttpLimits limits;
     HttpHandler handler;
     evhtp_t* htp = nullptr;
-    bool accepting = false;
-    bool draining = false;
-    std::uint64_t refused = 0;
-    /// Exchanges answered within the handler. libevhtp loses pipelined requests unless the answer
-    /// comes after the handler has returned.
-    std::vector<std::shared_ptr<Exchange>> answeredInHandler;
-    event* answer = nullptr;
+    bool isAccepting = false;
+    bool isDraining = false;
+    std::uint64_t refusedCount = 0;
+    /// Exchanges whose response was given within the handler. The server sends these responses after the
+    /// handler has returned, because libevhtp otherwise loses pipelined requests.
+    std::vector<std::shared_ptr<Exchange>> deferredExchanges;
+    event* deferredEvent = nullptr; ///< sends the responses of deferredExchanges
     std::unordered_map<evhtp_connection_t*, std::unique_ptr<Connection>> connections;
 };
 
 namespace {
 
-/// What is kept per connection, besides the library's own state.
+/// The server's state of one connection, in addition to that of libevhtp.
 struct Connection {
     HttpServer::Impl& server;
     evhtp_connection_t* raw;
-    event* timer = nullptr; ///< ends a request that doesn't become whole, or is to be refused
-    event* closed = nullptr; ///< the caller has closed while its request is being served
+    /// Fires at the request's deadline, or at once to refuse the request or to close the connection.
+    event* timer = nullptr;
+    event* disconnectEvent = nullptr; ///< fires if the caller disconnects while its request is being served
     http::RequestHead head;
-    std::optional<http::ChunkFraming> chunks; ///< of the body that follows the head
-    bool started = false; ///< the first byte of a request has come
-    bool serving = false; ///< a request of this connection waits for its answer
-    bool closing = false; ///< the connection ends with the answer that is being sent
-    int refusal = 0; ///< status with which the request is refused
-    bool refused = false;
+    std::optional<http::ChunkParser> chunkParser; ///< set if the body that follows the head is chunked
+    bool hasRequestBytes = false; ///< whether the first byte of a request has arrived
+    bool isServing = false; ///< whether a request of this connection waits for its response
+    bool isClosing = false; ///< whether the connection closes after the response that is being sent
+    int refusalStatus = 0; ///< status with which the request is refused, or 0
+    bool isRefused = false; ///< whether the request has been refused
 };
 
 void refuse(Connection& connection, int status)
 {
-    if (connection.refused)
+    if (connection.isRefused)
         return;
-    connection.refused = true;
-    ++connection.server.refused;
+    connection.isRefused = true;
+    ++connection.server.refusedCount;
     sendRefusal(connection.raw, status);
 }
 
-/// Refuses on the next turn of the loop: a connection can't be freed while its input is being filled.
-void refuseSoon(Connection& connection, int status)
+/// Refuses the request in the next iteration of the loop: a connection can't be freed while its input buffer
+/// is being filled.
+void scheduleRefusal(Connection& connection, int status)
 {
-    connection.refusal = status;
+    connection.refusalStatus = status;
     event_active(connection.timer, EV_TIMEOUT, 0);
 }
 
 std::string copyOut(evbuffer* input, std::size_t offset, std::size_t size)
 {
     std::string bytes(size, '\0');
-    evbuffer_ptr from;
-    evbuffer_ptr_set(input, &from, offset, EVBUFFER_PTR_SET);
-    evbuffer_copyout_from(input, &from, bytes.data(), bytes.size());
+    evbuffer_ptr start;
+    evbuffer_ptr_set(input, &start, offset, EVBUFFER_PTR_SET);
+    evbuffer_copyout_from(input, &start, bytes.data(), bytes.size());
     return bytes;
 }
 
-/// Follows the framing of a chunked body.
-void followBody(Connection& connection, evbuffer* input, std::size_t offset)
+/// Validates the framing of a chunked body. In \p input the new bytes start at \p offset.
+void inspectBody(Connection& connection, evbuffer* input, std::size_t offset)
 {
-    if (!connection.chunks)
+    if (!connection.chunkParser)
         return;
-    if (!http::follow(*connection.chunks, copyOut(input, offset, evbuffer_get_length(input) - offset)))
-        refuseSoon(connection, 400);
+    if (!http::parseChunks(
+            *connection.chunkParser, copyOut(input, offset, evbuffer_get_length(input) - offset)))
+        scheduleRefusal(connection, 400);
 }
 
-/// Follows the bytes that arrive for the next request, from \p offset of the input buffer.
-void followInput(Connection& connection, evbuffer* input, std::size_t offset)
+/// Validates the bytes of the next request as they arrive. In \p input the new bytes start at \p offset.
+void inspectInput(Connection& connection, evbuffer* input, std::size_t offset)
 {
     const auto& limits = connection.server.limits;
-    const auto arrived = evbuffer_get_length(input) - offset;
-    if (arrived == 0 || connection.serving || connection.closing)
+    const auto newBytes = evbuffer_get_length(input) - offset;
+    if (newBytes == 0 || connection.isServing || connection.isClosing)
         return;
-    if (!connection.started) {
-        connection.started = true;
+    if (!connection.hasRequestBytes) {
+        connection.hasRequestBytes = true;
         const auto time = toTimeval(limits.requestTimeout);
         event_add(connection.timer, &time);
     }
-    if (connection.refusal)
+    if (connection.refusalStatus)
         return;
-    if (connection.head.complete)
-        return followBody(connection, input, offset);
-    const auto room = limits.headerBytes + 1 - std::min(limits.headerBytes, connection.head.text.size());
-    const auto bytes = copyOut(input, offset, std::min(arrived, room));
-    const auto beyond = http::append(connection.head, bytes);
-    if (connection.head.text.size() > limits.headerBytes)
-        return refuseSoon(connection, 431);
-    if (!connection.head.complete)
+    if (connection.head.isComplete)
+        return inspectBody(connection, input, offset);
+    const auto headBytesLeft
+        = limits.maxHeaderBytes + 1 - std::min(limits.maxHeaderBytes, connection.head.text.size());
+    const auto bytes = copyOut(input, offset, std::min(newBytes, headBytesLeft));
+    const auto excess = http::appendToHead(connection.head, bytes);
+    if (connection.head.text.size() > limits.maxHeaderBytes)
+        return scheduleRefusal(connection, 431);
+    if (!connection.head.isComplete)
         return;
-    if (const int status = http::refusalOf(connection.head))
-        return refuseSoon(connection, status);
+    if (const int status = http::headRefusalStatus(connection.head))
+        return scheduleRefusal(connection, status);
     if (http::isChunked(connection.head.text))
-        connection.chunks.emplace();
-    followBody(connection, input, offset + bytes.size() - beyond);
+        connection.chunkParser.emplace();
+    inspectBody(connection, input, offset + bytes.size() - excess);
 }
 
 void onInput(evbuffer* input, const evbuffer_cb_info* info, void* argument)
 {
     if (info->n_added > 0)
-        followInput(*static_cast<Connection*>(argument), input, info->orig_size);
+        inspectInput(*static_cast<Connection*>(argument), input, info->orig_size);
 }
 
-/// libevhtp leaves a connection open after the answer to a paused request, whatever was agreed.
+/// Closes a connection once its last response is written. libevhtp leaves it open after the response to a
+/// paused request, even if caller and server agreed to close it.
 void onOutput(evbuffer* output, const evbuffer_cb_info* info, void* argument)
 {
     auto& connection = *static_cast<Connection*>(argument);
-    const bool ends = connection.closing || connection.refusal;
-    if (ends && info->n_deleted > 0 && evbuffer_get_length(output) == 0)
+    const bool closesAfterOutput = connection.isClosing || connection.refusalStatus;
+    if (closesAfterOutput && info->n_deleted > 0 && evbuffer_get_length(output) == 0)
         event_active(connection.timer, EV_TIMEOUT, 0);
 }
 
 void onTimer(evutil_socket_t, short, void* argument)
 {
     auto& connection = *static_cast<Connection*>(argument);
-    const bool sending = evbuffer_get_length(bufferevent_get_output(connection.raw->bev)) > 0;
-    if (sending && connection.refusal)
-        return; // the answer before it goes first
-    if (!connection.closing)
-        refuse(connection, connection.refusal ? connection.refusal : 408);
+    const bool isSending = evbuffer_get_length(bufferevent_get_output(connection.raw->bev)) > 0;
+    if (isSending && connection.refusalStatus)
+        return; // The previous response is sent first.
+    if (!connection.isClosing)
+        refuse(connection, connection.refusalStatus ? connection.refusalStatus : 408);
     evhtp_connection_free(connection.raw);
 }
 
-void onClosed(evutil_socket_t, short, void* argument)
+void onDisconnect(evutil_socket_t, short, void* argument)
 {
     evhtp_connection_free(static_cast<Connection*>(argument)->raw);
 }
 
 void beginServing(Connection& connection)
 {
-    connection.serving = true;
+    connection.isServing = true;
     event_del(connection.timer);
 }
 
 void endServing(Connection& connection)
 {
-    if (!connection.serving)
+    if (!connection.isServing)
         return;
-    connection.serving = false;
-    connection.started = false;
+    connection.isServing = false;
+    connection.hasRequestBytes = false;
     connection.head = {};
-    connection.chunks.reset();
-    // Bytes of a pipelined request are already here.
-    followInput(connection, bufferevent_get_input(connection.raw->bev), 0);
+    connection.chunkParser.reset();
+    // The input buffer may already hold bytes of a pipelined request.
+    inspectInput(connection, bufferevent_get_input(connection.raw->bev), 0);
 }
 
 class Exchange final : public HttpExchange {
@@ -290,7 +300,7 @@
         , m_raw(request)
     {
         m_request.method = htparser_get_methodstr(request->conn->parser);
-        // The target as it was sent: the library cuts it at a fragment and at unusual bytes.
+        // Uses the raw target: libevhtp truncates its copy at a fragment and at unusual bytes.
         const auto question = target.find('?');
         m_request.path = target.substr(0, question);
         if (question != std::string_view::npos)
@@ -307,35 +317,35 @@
     {
         if (!isOpen())
             return;
-        m_onGone = nullptr;
-        m_finished = true;
-        if (m_inHandler) {
+        m_onCallerDisconnected = nullptr;
+        m_isFinished = true;
+        if (m_isInHandler) {
             m_response = std::move(response);
             return;
         }
-        sendNow(response);
+        sendResponse(response);
     }
 
-    /// Sends the answer given within the handler, if there is one.
-    void sendDeferred()
+    /// Sends the response that was given within the handler, unless libevhtp has freed the request.
+    void sendDeferredResponse()
     {
         if (m_raw)
-            sendNow(m_response);
+            sendResponse(m_response);
     }
 
-    /// Marks the start or end of the handler's call; returns whether an answer is waiting.
-    bool setInHandler(bool inside)
+    /// Records whether the handler is running. Returns whether a response has been given.
+    bool setInHandler(bool isInHandler)
     {
-        m_inHandler = inside;
-        return m_finished;
+        m_isInHandler = isInHandler;
+        return m_isFinished;
     }
 
-    void sendNow(HttpResponse& response)
+    void sendResponse(HttpResponse& response)
     {
         auto* raw = m_raw;
         auto& connection = m_connection;
-        connection.closing = m_server.draining || !(raw->flags & EVHTP_REQ_FLAG_KEEPALIVE);
-        if (connection.closing)
+        connection.isClosing = m_server.isDraining || !(raw->flags & EVHTP_REQ_FLAG_KEEPALIVE);
+        if (connection.isClosing)
             response.headers.emplace_back("Connection", "close");
         addHeaders(response.headers);
         evbuffer_add(raw->buffer_out, response.body.data(), response.body.size());
@@ -348,11 +358,11 @@
     {
         if (!isOpen())
             return;
-        if (m_inHandler)
-            setInHandler(false); // a stream is never part of a pipeline
+        if (m_isInHandler)
+            setInHandler(false); // Streams are never pipelined, so this response needs no deferral.
         addHeaders(headers);
         evhtp_send_reply_chunk_start(m_raw, static_cast<evhtp_res>(status));
-        // Reading has to go on during a stream: it is how a closed connection is noticed.
+        // The connection must be read during a stream: that is how the server notices a disconnect.
         resume(m_raw);
     }
 
@@ -375,31 +385,35 @@
     {
         if (!isOpen())
             return;
-        m_finished = true;
-        m_onGone = nullptr;
+        m_isFinished = true;
+        m_onCallerDisconnected = nullptr;
         evhtp_send_reply_chunk_end(m_raw);
     }
 
-    bool isOpen() const override { return m_raw && !m_finished; }
+    bool isOpen() const override { return m_raw && !m_isFinished; }
 
-    void onCallerGone(std::function<void()> callback) override { m_onGone = std::move(callback); }
+    void onCallerGone(std::function<void()> callback) override
+    {
+        m_onCallerDisconnected = std::move(callback);
+    }
 
-    /// Holds the connection until the answer, so that pipelined requests keep their order.
+    /// Pauses the connection until the response is sent, so that pipelined requests are answered in order.
     void pause()
     {
-        m_paused = true;
+        m_isPaused = true;
         evhtp_request_pause(m_raw);
-        event_add(m_connection.closed, nullptr);
+        event_add(m_connection.disconnectEvent, nullptr);
     }
 
     HttpServer::Impl& server() const { return m_server; }
 
-    /// Forgets the library's request, which is about to be freed.
+    /// Drops the reference to libevhtp's request, which is about to be freed, and calls the callback of
+    /// onCallerGone().
     void detach()
     {
         m_raw = nullptr;
-        auto callback = std::move(m_onGone);
-        m_onGone = nullptr;
+        auto callback = std::move(m_onCallerDisconnected);
+        m_onCallerDisconnected = nullptr;
         if (callback)
             callback();
     }
@@ -413,10 +427,10 @@
 
     void resume(evhtp_request_t* raw)
     {
-        if (!m_paused)
+        if (!m_isPaused)
             return;
-        m_paused = false;
-        event_del(m_connection.closed);
+        m_isPaused = false;
+        event_del(m_connection.disconnectEvent);
         evhtp_request_resume(raw);
     }
 
@@ -424,22 +438,22 @@
     Connection& m_connection; ///< valid while m_raw is set
     evhtp_request_t* m_raw;
     HttpRequest m_request;
-    std::function<void()> m_onGone;
+    std::function<void()> m_onCallerDisconnected;
     HttpResponse m_response;
-    bool m_paused = false;
-    bool m_finished = false;
-    bool m_inHandler = false;
+    bool m_isPaused = false;
+    bool m_isFinished = false;
+    bool m_isInHandler = false;
 };
 
 evhtp_res onRequestFinished(evhtp_request_t* request, void* argument)
 {
-    auto* holder = static_cast<std::shared_ptr<Exchange>*>(argument);
-    // When the whole connection is being freed, what is kept of it has gone already.
-    auto& connections = (*holder)->server().connections;
+    auto* exchange = static_cast<std::shared_ptr<Exchange>*>(argument);
+    // If libevhtp is freeing the whole connection, its entry has already been erased.
+    auto& connections = (*exchange)->server().connections;
     if (auto found = connections.find(request->conn); found != connections.end())
         endServing(*found->second);
-    (*holder)->detach();
-    delete holder;
+    (*exchange)->detach();
+    delete exchange;
     return EVHTP_RES_OK;
 }
 
@@ -447,12 +461,12 @@
 {
     auto& impl = *static_cast<HttpServer::Impl*>(argument);
     auto& connection = *impl.connections.at(request->conn);
-    if (connection.closing)
+    if (connection.isClosing)
         return;
-    if (connection.refusal || !connection.head.complete)
-        return refuseSoon(connection, connection.refusal ? connection.refusal : 400);
-    auto exchange = std::make_shared<Exchange>(connection, request, http::targetOf(connection.head));
-    evhtp_request_set_hook(request, evhtp_hook_on_request_fini, asHook(onRequestFinished),
+    if (connection.refusalStatus || !connection.head.isComplete)
+        return scheduleRefusal(connection, connection.refusalStatus ? connection.refusalStatus : 400);
+    auto exchange = std::make_shared<Exchange>(connection, request, http::requestTarget(connection.head));
+    evhtp_request_set_hook(request, evhtp_hook_on_request_fini, toHook(onRequestFinished),
         new std::shared_ptr<Exchange>(exchange));
     beginServing(connection);
     exchange->pause();
@@ -460,20 +474,21 @@
     impl.handler(exchange);
     if (!exchange->setInHandler(false))
         return;
-    impl.answeredInHandler.push_back(exchange);
-    event_active(impl.answer, EV_TIMEOUT, 0);
+    impl.deferredExchanges.push_back(exchange);
+    event_active(impl.deferredEvent, EV_TIMEOUT, 0);
 }
 
-void onAnswer(evutil_socket_t, short, void* argument)
+void onDeferred(evutil_socket_t, short, void* argument)
 {
     auto& impl = *static_cast<HttpServer::Impl*>(argument);
-    auto exchanges = std::move(impl.answeredInHandler);
-    impl.answeredInHandler.clear();
+    auto exchanges = std::move(impl.deferredExchanges);
+    impl.deferredExchanges.clear();
     for (const auto& exchange : exchanges)
-        exchange->sendDeferred();
+        exchange->sendDeferredResponse();
 }
 
-evhtp_res refuseNow(Connection& connection, int status)
+/// Refuses the request from within a libevhtp hook, which makes libevhtp close the connection.
+evhtp_res refuseInHook(Connection& connection, int status)
 {
     refuse(connection, status);
     return EVHTP_RES_BADREQ;
@@ -482,33 +497,33 @@
 evhtp_res onHeaders(evhtp_request_t*, evhtp_headers_t* headers, void* argument)
 {
     auto& connection = *static_cast<Connection*>(argument);
-    HeaderCheck check;
-    evhtp_headers_for_each(headers, inspectHeader, &check);
-    if (connection.refusal)
-        return refuseNow(connection, connection.refusal);
-    if (!connection.head.complete || (check.hosts == 0 && http::needsHost(connection.head)))
-        return refuseNow(connection, 400);
-    const int status = refusalStatus(check, connection.server.limits);
-    return status ? refuseNow(connection, status) : EVHTP_RES_OK;
+    HeaderSummary summary;
+    evhtp_headers_for_each(headers, addToSummary, &summary);
+    if (connection.refusalStatus)
+        return refuseInHook(connection, connection.refusalStatus);
+    if (!connection.head.isComplete || (summary.hostFields == 0 && http::requiresHost(connection.head)))
+        return refuseInHook(connection, 400);
+    const int status = headerRefusalStatus(summary, connection.server.limits);
+    return status ? refuseInHook(connection, status) : EVHTP_RES_OK;
 }
 
 evhtp_res onBody(evhtp_request_t* request, evbuffer* data, void* argument)
 {
     auto& connection = *static_cast<Connection*>(argument);
-    if (connection.refusal)
-        return refuseNow(connection, connection.refusal);
+    if (connection.refusalStatus)
+        return refuseInHook(connection, connection.refusalStatus);
     const auto length = evbuffer_get_length(request->buffer_in) + evbuffer_get_length(data);
-    return length > connection.server.limits.bodyBytes ? refuseNow(connection, 413) : EVHTP_RES_OK;
+    return length > connection.server.limits.bodyBytes ? refuseInHook(connection, 413) : EVHTP_RES_OK;
 }
 
 evhtp_res onConnectionFinished(evhtp_connection_t* raw, void* argument)
 {
     auto& connection = *static_cast<Connection*>(argument);
-    // The library closes without a word when its parser finds an error.
-    if (!connection.serving && htparser_get_error(raw->parser) != htparse_error_none)
+    // libevhtp closes the connection without a response if its parser finds an error.
+    if (!connection.isServing && htparser_get_error(raw->parser) != htparse_error_none)
         refuse(connection, 400);
     event_free(connection.timer);
-    event_free(connection.closed);
+    event_free(connection.disconnectEvent);
     connection.server.connections.erase(raw);
     return EVHTP_RES_OK;
 }
@@ -518,12 +533,13 @@
     auto& impl = *static_cast<HttpServer::Impl*>(argument);
     auto& connection = *impl.connections.emplace(raw, new Connection { impl, raw }).first->second;
     connection.timer = event_new(impl.base, -1, 0, onTimer, &connection);
-    connection.closed = event_new(impl.base, bufferevent_getfd(raw->bev), EV_CLOSED, onClosed, &connection);
+    connection.disconnectEvent
+        = event_new(impl.base, bufferevent_getfd(raw->bev), EV_CLOSED, onDisconnect, &connection);
     evbuffer_add_cb(bufferevent_get_input(raw->bev), onInput, &connection);
     evbuffer_add_cb(bufferevent_get_output(raw->bev), onOutput, &connection);
-    evhtp_connection_set_hook(raw, evhtp_hook_on_headers, asHook(onHeaders), &connection);
-    evhtp_connection_set_hook(raw, evhtp_hook_on_read, asHook(onBody), &connection);
-    evhtp_connection_set_hook(raw, evhtp_hook_on_connection_fini, asHook(onConnectionFinished), &connection);
+    evhtp_connection_set_hook(raw, evhtp_hook_on_headers, toHook(onHeaders), &connection);
+    evhtp_connection_set_hook(raw, evhtp_hook_on_read, toHook(onBody), &connection);
+    evhtp_connection_set_hook(raw, evhtp_hook_on_connection_fini, toHook(onConnectionFinished), &connection);
     return EVHTP_RES_OK;
 }
 
@@ -533,7 +549,7 @@
     : m_impl(new Impl { base, limits, std::move(handler) })
 {
     m_impl->htp = evhtp_new(base, nullptr);
-    m_impl->answer = event_new(base, -1, 0, onAnswer, m_impl.get());
+    m_impl->deferredEvent = event_new(base, -1, 0, onDeferred, m_impl.get());
     const auto timeout = toTimeval(limits.idleTimeout);
     evhtp_set_timeouts(m_impl->htp, &timeout, &timeout);
     evhtp_set_post_accept_cb(m_impl->htp, onAccepted, m_impl.get());
@@ -545,7 +561,7 @@
     stopAccepting();
     while (!m_impl->connections.empty())
         evhtp_connection_free(m_impl->connections.begin()->first);
-    event_free(m_impl->answer);
+    event_free(m_impl->deferredEvent);
     evhtp_free(m_impl->htp);
 }
 
@@ -554,7 +570,7 @@
     if (evhtp_bind_socket(m_impl->htp, address.ip.c_str(), address.port, listenBacklog) != 0)
         return tl::make_unexpected(
             NetError { "cannot listen on " + http::toString(address) + ": " + std::strerror(errno) });
-    m_impl->accepting = true;
+    m_impl->isAccepting = true;
     sockaddr_in bound {};
     socklen_t length = sizeof(bound);
     getsockname(evconnlistener_get_fd(m_impl->htp->server), reinterpret_cast<sockaddr*>(&bound), &length);
@@ -563,26 +579,26 @@
 
 void HttpServer::stopAccepting()
 {
-    if (!m_impl->accepting)
+    if (!m_impl->isAccepting)
         return;
-    m_impl->accepting = false;
+    m_impl->isAccepting = false;
     evhtp_unbind_socket(m_impl->htp);
 }
 
-void HttpServer::startDraining() { m_impl->draining = true; }
+void HttpServer::startDraining() { m_impl->isDraining = true; }
 
 void HttpServer::closeIdle()
 {
-    std::vector<evhtp_connection_t*> idle;
+    std::vector<evhtp_connection_t*> idleConnections;
     for (const auto& [raw, connection] : m_impl->connections) {
-        // A request that is already in the socket is served first.
+        // A request that has arrived in the socket but is not yet read is served first.
         char byte = 0;
-        const bool quiet = recv(bufferevent_getfd(raw->bev), &byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0;
-        const bool sent = evbuffer_get_length(bufferevent_get_output(raw->bev)) == 0;
-        if (quiet && sent && !connection->serving && !connection->started)
-            idle.push_back(raw);
+        const bool hasNoInput = recv(bufferevent_getfd(raw->bev), &byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0;
+        const bool isOutputEmpty = evbuffer_get_length(bufferevent_get_output(raw->bev)) == 0;
+        if (hasNoInput && isOutputEmpty && !connection->isServing && !connection->hasRequestBytes)
+            idleConnections.push_back(raw);
     }
-    for (auto* raw : idle)
+    for (auto* raw : idleConnections)
         evhtp_connection_free(raw);
 }
 
@@ -594,6 +610,6 @@
 
 std::size_t HttpServer::connections() const { return m_impl->connections.size(); }
 
-std::uint64_t HttpServer::refusedRequests() const { return m_impl->refused; }
+std::uint64_t HttpServer::refusedRequests() const { return m_impl->refusedCount; }
 
 } // namespace damask
