--- a/src/libnet/http_client_test.cpp
+++ b/src/libnet/http_client_test.cpp
@@ -1,5 +1,6 @@
-/// The client against endpoints that answer wrongly: only whole and unambiguous answers are passed
-/// on, and no byte of one answer reaches another request.
+/// \file
+/// Tests of the client against endpoints that respond wrongly. The client must pass on only complete and
+/// unambiguous responses, and no byte of one response may be taken for the response to another request.
 #include "../../testsuite/harness/raw_endpoint.h"
 
 #include <boost/test/unit_test.hpp>
@@ -12,9 +13,9 @@
 
 namespace {
 
-const std::string whole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+const std::string okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-std::string answerWithBody(const std::string& body)
+std::string responseWithBody(const std::string& body)
 {
     return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
@@ -24,138 +25,144 @@
     HttpClient client { loop.base(), HttpLimits { 1000, 4000, 60s } };
 
     HttpResult send(
-        const RawEndpoint& endpoint, const std::string& path, std::chrono::milliseconds limit = 2s)
+        const RawEndpoint& endpoint, const std::string& path, std::chrono::milliseconds timeout = 2s)
     {
         std::optional<HttpResult> result;
-        client.send(endpoint.address(), { .path = path }, limit,
-            [&](HttpResult answer) { result = std::move(answer); });
+        client.send(endpoint.address(), { .path = path }, timeout,
+            [&](HttpResult response) { result = std::move(response); });
         loop.runUntil([&] { return result.has_value(); }, 5s);
         BOOST_REQUIRE(result.has_value());
         return *result;
     }
 
-    void settle()
+    /// Runs the loop so that it handles all pending events.
+    void runPendingEvents()
     {
         loop.runUntil([] { return false; }, 50ms);
     }
 };
 
-struct WrongAnswer {
+struct InvalidResponse {
     std::string name;
     std::string bytes;
-    bool closes = true;
+    bool closesConnection = true;
 };
 
-const WrongAnswer wrongAnswers[] = {
+const InvalidResponse invalidResponses[] = {
     { "short body", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nshort" },
-    { "cut chunked body", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\n" },
-    { "cut inside a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab" },
-    { "no length, ends with the connection", "HTTP/1.1 200 OK\r\n\r\nwhole or cut?" },
+    { "chunked body without its last chunk",
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\n" },
+    { "truncated chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab" },
+    { "no length, ends when the connection closes", "HTTP/1.1 200 OK\r\n\r\nwhole or cut?" },
     { "two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nabc", false },
     { "length and chunked",
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n",
         false },
-    { "other encoding", "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nabc" },
+    { "unsupported encoding", "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nabc" },
     { "list of encodings",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n" },
     { "signed length", "HTTP/1.1 200 OK\r\nContent-Length: +2\r\n\r\nok", false },
     { "list of lengths", "HTTP/1.1 200 OK\r\nContent-Length: 2, 2\r\n\r\nok", false },
-    { "no HTTP", "hello\r\n\r\n", false },
+    { "not HTTP", "hello\r\n\r\n", false },
     { "closed at once", "" },
-    { "cut header", "HTTP/1.1 200 OK\r\nContent-Le" },
-    { "too large a body", answerWithBody(std::string(1001, 'x')), false },
-    { "too large a header", "HTTP/1.1 200 OK\r\nX-Long: " + std::string(5000, 'x') + "\r\n\r\n", false },
+    { "truncated header", "HTTP/1.1 200 OK\r\nContent-Le" },
+    { "oversized body", responseWithBody(std::string(1001, 'x')), false },
+    { "oversized header", "HTTP/1.1 200 OK\r\nX-Long: " + std::string(5000, 'x') + "\r\n\r\n", false },
     { "switching protocols", "HTTP/1.1 101 Switching Protocols\r\n\r\n", false },
 };
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(wrongAnswersAreNeverPassedOn, ClientFixture)
+BOOST_FIXTURE_TEST_CASE(invalidResponsesAreReportedAsErrors, ClientFixture)
 {
-    for (const auto& wrong : wrongAnswers) {
+    for (const auto& invalid : invalidResponses) {
         RawEndpoint endpoint(loop.base(), [&](const auto& connection, const std::string&) {
-            connection->send(wrong.bytes);
-            if (wrong.closes)
+            connection->send(invalid.bytes);
+            if (invalid.closesConnection)
                 connection->close();
         });
         const auto result = send(endpoint, "/x", 500ms);
-        BOOST_TEST(!result, wrong.name << " was passed on as " << (result ? result->status : 0));
+        BOOST_TEST(!result, invalid.name << " was passed on as " << (result ? result->status : 0));
         if (!result)
-            BOOST_TEST(result.error().bytesSent, wrong.name);
+            BOOST_TEST(result.error().bytesSent, invalid.name);
     }
 }
 
-BOOST_FIXTURE_TEST_CASE(endlessAnswersEndAtTheirLimits, ClientFixture)
+BOOST_FIXTURE_TEST_CASE(endlessResponsesEndAtTheirLimits, ClientFixture)
 {
-    const std::string starts[] = { "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
+    const std::string prefixes[] = { "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
         "HTTP/1.1 200 OK\r\n", "HTTP/1.1 100 Continue\r\n\r\n" };
-    const std::string parts[] = { "5\r\nabcde\r\n", "X-More: and more\r\n", "HTTP/1.1 100 Continue\r\n\r\n" };
-    for (std::size_t kind = 0; kind < std::size(starts); ++kind) {
-        std::shared_ptr<RawConnection> open;
+    const std::string repeatedParts[]
+        = { "5\r\nabcde\r\n", "X-More: and more\r\n", "HTTP/1.1 100 Continue\r\n\r\n" };
+    for (std::size_t kind = 0; kind < std::size(prefixes); ++kind) {
+        std::shared_ptr<RawConnection> connected;
         RawEndpoint endpoint(loop.base(), [&](const auto& connection, const std::string&) {
-            connection->send(starts[kind]);
-            open = connection;
+            connection->send(prefixes[kind]);
+            connected = connection;
         });
-        Timer more(loop.base(), [&] {
-            if (open)
-                open->send(parts[kind]);
+        Timer sendMore(loop.base(), [&] {
+            if (connected)
+                connected->send(repeatedParts[kind]);
         });
-        more.startPeriodic(1ms);
-        BOOST_TEST(!send(endpoint, "/x", 1s), "endless answer of kind " << kind << " was passed on");
+        sendMore.startPeriodic(1ms);
+        BOOST_TEST(!send(endpoint, "/x", 1s), "endless response of kind " << kind << " was passed on");
     }
 }
 
-BOOST_FIXTURE_TEST_CASE(extraBytesNeverReachAnotherRequest, ClientFixture)
+BOOST_FIXTURE_TEST_CASE(extraBytesAreNeverTakenForTheNextResponse, ClientFixture)
 {
     RawEndpoint endpoint(loop.base(), [&](const auto& connection, const std::string& request) {
         const bool first = request.find("/first") != std::string::npos;
-        connection->send(first ? answerWithBody("first") + answerWithBody("stolen") : answerWithBody("own"));
+        connection->send(
+            first ? responseWithBody("first") + responseWithBody("stolen") : responseWithBody("own"));
     });
     BOOST_TEST(send(endpoint, "/first")->body == "first");
     for (int i = 0; i < 5; ++i)
         BOOST_TEST(send(endpoint, "/next")->body == "own");
 }
 
-BOOST_FIXTURE_TEST_CASE(extraBytesThatComeWhileIdleNeverReachAnotherRequest, ClientFixture)
+BOOST_FIXTURE_TEST_CASE(extraBytesOnIdleConnectionAreNeverTakenForTheNextResponse, ClientFixture)
 {
-    std::shared_ptr<RawConnection> kept;
+    std::shared_ptr<RawConnection> idle;
     RawEndpoint endpoint(loop.base(), [&](const auto& connection, const std::string&) {
-        kept = connection;
-        connection->send(answerWithBody("own"));
+        idle = connection;
+        connection->send(responseWithBody("own"));
     });
     BOOST_TEST(send(endpoint, "/first")->body == "own");
-    kept->send(answerWithBody("stolen"));
-    settle();
+    idle->send(responseWithBody("stolen"));
+    runPendingEvents();
     BOOST_TEST(send(endpoint, "/next")->body == "own");
     BOOST_TEST(endpoint.connections() == 2);
 }
 
-BOOST_FIXTURE_TEST_CASE(extraBytesNotYetReadNeverReachAnotherRequest, ClientFixture)
+BOOST_FIXTURE_TEST_CASE(unreadExtraBytesAreNeverTakenForTheNextResponse, ClientFixture)
 {
-    // The bytes are in the socket, and the loop has not seen them, when the next request is sent.
-    std::shared_ptr<RawConnection> kept;
+    // The extra bytes are in the socket, but the loop has not read them, when the client sends the next
+    // request.
+    std::shared_ptr<RawConnection> idle;
     RawEndpoint endpoint(loop.base(), [&](const auto& connection, const std::string&) {
-        kept = connection;
-        connection->send(answerWithBody("own"));
+        idle = connection;
+        connection->send(responseWithBody("own"));
     });
     std::optional<HttpResult> second;
-    Timer late(loop.base(), [&] {
-        client.send(endpoint.address(), { .path = "/next" }, 2s, [&](HttpResult answer) { second = answer; });
+    Timer sendSecond(loop.base(), [&] {
+        client.send(
+            endpoint.address(), { .path = "/next" }, 2s, [&](HttpResult response) { second = response; });
     });
     BOOST_TEST(send(endpoint, "/first")->body == "own");
-    kept->send(answerWithBody("stolen"));
-    late.startOnce(0us);
+    idle->send(responseWithBody("stolen"));
+    sendSecond.startOnce(0us);
     loop.runUntil([&] { return second.has_value(); }, 5s);
     BOOST_REQUIRE(second.has_value());
     BOOST_TEST((!*second || (*second)->body == "own"));
 }
 
-BOOST_FIXTURE_TEST_CASE(connectionsOfAnEndpointWithExtraBytesCarryOneRequestEach, ClientFixture)
+BOOST_FIXTURE_TEST_CASE(connectionsToEndpointThatSentExtraBytesAreNotReused, ClientFixture)
 {
-    // Extra bytes that cross with the next request can't be told from its answer.
+    // Extra bytes that arrive while the next request is on its way can't be told from its response.
     RawEndpoint endpoint(loop.base(), [&](const auto& connection, const std::string& request) {
         const bool first = request.find("/first") != std::string::npos;
-        connection->send(first ? whole + "x" : whole);
+        connection->send(first ? okResponse + "x" : okResponse);
     });
     send(endpoint, "/first");
     for (int i = 0; i < 3; ++i)
@@ -163,47 +170,47 @@
     BOOST_TEST(endpoint.connections() == 4);
 }
 
-BOOST_FIXTURE_TEST_CASE(lateAnswerAfterATimeoutReachesNobody, ClientFixture)
+BOOST_FIXTURE_TEST_CASE(lateResponseAfterTimeoutIsDiscarded, ClientFixture)
 {
-    std::shared_ptr<RawConnection> late;
+    std::shared_ptr<RawConnection> slowConnection;
     RawEndpoint endpoint(loop.base(), [&](const auto& connection, const std::string& request) {
         if (request.find("/slow") == std::string::npos)
-            return connection->send(answerWithBody("own"));
-        late = connection;
+            return connection->send(responseWithBody("own"));
+        slowConnection = connection;
     });
     const auto slow = send(endpoint, "/slow", 50ms);
     BOOST_REQUIRE(!slow);
     BOOST_TEST((slow.error().failure == HttpFailure::Timeout));
     BOOST_TEST(slow.error().bytesSent);
-    late->send(answerWithBody("late"));
+    slowConnection->send(responseWithBody("late"));
     BOOST_TEST(send(endpoint, "/next")->body == "own");
-    settle();
+    runPendingEvents();
     BOOST_TEST(send(endpoint, "/next")->body == "own");
 }
 
-BOOST_FIXTURE_TEST_CASE(answerToACancelledAttemptReachesNobody, ClientFixture)
+BOOST_FIXTURE_TEST_CASE(responseToCancelledAttemptIsDiscarded, ClientFixture)
 {
-    std::shared_ptr<RawConnection> late;
+    std::shared_ptr<RawConnection> slowConnection;
     RawEndpoint endpoint(loop.base(), [&](const auto& connection, const std::string& request) {
         if (request.find("/slow") == std::string::npos)
-            return connection->send(answerWithBody("own"));
-        late = connection;
+            return connection->send(responseWithBody("own"));
+        slowConnection = connection;
     });
     bool called = false;
     const auto attempt
         = client.send(endpoint.address(), { .path = "/slow" }, 2s, [&](const HttpResult&) { called = true; });
-    loop.runUntil([&] { return late != nullptr; }, 5s);
+    loop.runUntil([&] { return slowConnection != nullptr; }, 5s);
     client.cancel(attempt);
-    late->send(answerWithBody("late"));
+    slowConnection->send(responseWithBody("late"));
     BOOST_TEST(send(endpoint, "/next")->body == "own");
-    settle();
+    runPendingEvents();
     BOOST_TEST(!called);
 }
 
-BOOST_FIXTURE_TEST_CASE(connectionIsReusedAfterARightAnswer, ClientFixture)
+BOOST_FIXTURE_TEST_CASE(connectionIsReusedAfterValidResponse, ClientFixture)
 {
     RawEndpoint endpoint(
-        loop.base(), [&](const auto& connection, const std::string&) { connection->send(whole); });
+        loop.base(), [&](const auto& connection, const std::string&) { connection->send(okResponse); });
     for (int i = 0; i < 5; ++i)
         BOOST_TEST(send(endpoint, "/x")->body == "ok");
     BOOST_TEST(endpoint.connections() == 1);
--- a/src/libnet/http_server_test.cpp
+++ b/src/libnet/http_server_test.cpp
@@ -1,4 +1,5 @@
-/// The server against broken, smuggled, slow and endless requests.
+/// \file
+/// Tests of the server against malformed, smuggled, slow and endless requests.
 #include "../../testsuite/harness/raw_endpoint.h"
 
 #include <boost/test/unit_test.hpp>
@@ -13,19 +14,19 @@
 
 const std::string smuggled = "GET /smuggled HTTP/1.1\r\nHost: x\r\n\r\n";
 
-struct EdgeFixture {
+struct RawRequestFixture {
     Loop loop;
     std::vector<std::string> handled;
-    std::vector<std::shared_ptr<HttpExchange>> held;
-    int gone = 0;
+    std::vector<std::shared_ptr<HttpExchange>> heldExchanges; ///< of the path /hold, not yet answered
+    int disconnects = 0;
     HttpServer server { loop.base(), HttpLimits { 1000, 4000, 60s, 300ms },
         [this](std::shared_ptr<HttpExchange> exchange) {
             const auto& path = exchange->request().path;
             handled.push_back(path);
             if (path != "/hold")
                 return exchange->reply({ 200, {}, "path=" + path + ";" });
-            exchange->onCallerGone([this] { ++gone; });
-            held.push_back(std::move(exchange));
+            exchange->onCallerGone([this] { ++disconnects; });
+            heldExchanges.push_back(std::move(exchange));
         } };
     Address address { "127.0.0.1", *server.listen({ "127.0.0.1", 0 }) };
 
@@ -34,8 +35,8 @@
         return std::find(handled.begin(), handled.end(), path) != handled.end();
     }
 
-    /// Sends \p bytes and returns what came back until the server closed the connection.
-    std::string untilClosed(const std::string& bytes)
+    /// Sends \p bytes and returns what the server sends until it closes the connection.
+    std::string receiveUntilClosed(const std::string& bytes)
     {
         RawCaller caller(loop.base(), address);
         caller.send(bytes);
@@ -45,123 +46,123 @@
     }
 };
 
-std::string post(const std::string& fields, const std::string& body)
+std::string postRequest(const std::string& fields, const std::string& body)
 {
     return "POST /broken HTTP/1.1\r\nHost: x\r\n" + fields + "\r\n\r\n" + body;
 }
 
-struct BrokenRequest {
+struct MalformedRequest {
     std::string name;
     std::string bytes;
 };
 
-const BrokenRequest brokenRequests[] = {
-    { "length and chunked", post("Content-Length: 4\r\nTransfer-Encoding: chunked", "0\r\n\r\n") },
-    { "chunked and length", post("Transfer-Encoding: chunked\r\nContent-Length: 4", "0\r\n\r\n") },
-    { "two lengths", post("Content-Length: 4\r\nContent-Length: 5", "abcde") },
-    { "two equal lengths", post("Content-Length: 4\r\nContent-Length: 4", "abcd") },
-    { "list of lengths", post("Content-Length: 4, 4", "abcd") },
-    { "signed length", post("Content-Length: +4", "abcd") },
-    { "negative length", post("Content-Length: -1", "") },
-    { "hexadecimal length", post("Content-Length: 0x4", "abcd") },
-    { "empty length", post("Content-Length: ", "") },
-    { "odd encoding", post("Transfer-Encoding: xchunked", "") },
-    { "chunked twice", post("Transfer-Encoding: chunked, chunked", "0\r\n\r\n") },
-    { "two encodings", post("Transfer-Encoding: gzip\r\nTransfer-Encoding: chunked", "0\r\n\r\n") },
-    { "encoding after a tab", post("Transfer-Encoding:\tchunked", "0\r\n\r\n") },
-    { "encoding with a vertical tab", post("Transfer-Encoding: \vchunked", "0\r\n\r\n") },
-    { "space before the colon", post("Content-Length : 4", "abcd") },
-    { "tab before the colon", post("Transfer-Encoding\t: chunked", "0\r\n\r\n") },
-    { "space before the name", post(" Content-Length: 4", "abcd") },
-    { "folded field", post("X-Fold: a\r\n Content-Length: 40", "") },
-    { "folded encoding", post("Transfer-Encoding:\r\n chunked", "0\r\n\r\n") },
-    { "no colon", post("Content-Length", "") },
-    { "NUL in a name", post(std::string("Content\0-Length: 4", 18), "abcd") },
-    { "NUL in a value", post(std::string("X-Nul: a\0b", 10), "") },
-    { "NUL in a length", post(std::string("Content-Length: 4\0", 18), "abcd") },
+const MalformedRequest malformedRequests[] = {
+    { "length and chunked", postRequest("Content-Length: 4\r\nTransfer-Encoding: chunked", "0\r\n\r\n") },
+    { "chunked and length", postRequest("Transfer-Encoding: chunked\r\nContent-Length: 4", "0\r\n\r\n") },
+    { "two lengths", postRequest("Content-Length: 4\r\nContent-Length: 5", "abcde") },
+    { "two equal lengths", postRequest("Content-Length: 4\r\nContent-Length: 4", "abcd") },
+    { "list of lengths", postRequest("Content-Length: 4, 4", "abcd") },
+    { "signed length", postRequest("Content-Length: +4", "abcd") },
+    { "negative length", postRequest("Content-Length: -1", "") },
+    { "hexadecimal length", postRequest("Content-Length: 0x4", "abcd") },
+    { "empty length", postRequest("Content-Length: ", "") },
+    { "unknown encoding", postRequest("Transfer-Encoding: xchunked", "") },
+    { "chunked twice", postRequest("Transfer-Encoding: chunked, chunked", "0\r\n\r\n") },
+    { "two encodings", postRequest("Transfer-Encoding: gzip\r\nTransfer-Encoding: chunked", "0\r\n\r\n") },
+    { "encoding after a tab", postRequest("Transfer-Encoding:\tchunked", "0\r\n\r\n") },
+    { "encoding with a vertical tab", postRequest("Transfer-Encoding: \vchunked", "0\r\n\r\n") },
+    { "space before the colon", postRequest("Content-Length : 4", "abcd") },
+    { "tab before the colon", postRequest("Transfer-Encoding\t: chunked", "0\r\n\r\n") },
+    { "space before the name", postRequest(" Content-Length: 4", "abcd") },
+    { "folded field", postRequest("X-Fold: a\r\n Content-Length: 40", "") },
+    { "folded encoding", postRequest("Transfer-Encoding:\r\n chunked", "0\r\n\r\n") },
+    { "no colon", postRequest("Content-Length", "") },
+    { "NUL in a name", postRequest(std::string("Content\0-Length: 4", 18), "abcd") },
+    { "NUL in a value", postRequest(std::string("X-Nul: a\0b", 10), "") },
+    { "NUL in a length", postRequest(std::string("Content-Length: 4\0", 18), "abcd") },
     { "NUL in the path", std::string("GET /bro\0ken HTTP/1.1\r\nHost: x\r\n\r\n", 34) },
     { "bare LF after a field", "POST /broken HTTP/1.1\r\nHost: x\nContent-Length: 4\r\n\r\nabcd" },
     { "bare LF lines", "GET /broken HTTP/1.1\nHost: x\n\n" },
-    { "bare CR in a value", post("X-Cr: a\rContent-Length: 30", "") },
+    { "bare CR in a value", postRequest("X-Cr: a\rContent-Length: 30", "") },
     { "CR CR LF", "POST /broken HTTP/1.1\r\r\nHost: x\r\n\r\n" },
-    { "control byte in a value", post("X-Control: a\x01z", "") },
+    { "control byte in a value", postRequest("X-Control: a\x01z", "") },
     { "no version", "GET /broken\r\n\r\n" },
-    { "odd version", "GET /broken HTTP/9.9\r\nHost: x\r\n\r\n" },
+    { "unknown version", "GET /broken HTTP/9.9\r\nHost: x\r\n\r\n" },
     { "unknown method", "SMUGGLE /broken HTTP/1.1\r\nHost: x\r\n\r\n" },
     { "no host", "GET /broken HTTP/1.1\r\n\r\n" },
     { "two hosts", "GET /broken HTTP/1.1\r\nHost: x\r\nHost: y\r\n\r\n" },
-    { "odd chunk size", post("Transfer-Encoding: chunked", "zz\r\nabc\r\n0\r\n\r\n") },
-    { "signed chunk size", post("Transfer-Encoding: chunked", "+3\r\nabc\r\n0\r\n\r\n") },
-    { "chunk size with 0x", post("Transfer-Encoding: chunked", "0x3\r\nabc\r\n0\r\n\r\n") },
-    { "chunk longer than its size", post("Transfer-Encoding: chunked", "3\r\nabcde\r\n0\r\n\r\n") },
-    { "bare LF after a chunk size", post("Transfer-Encoding: chunked", "3\nabc\r\n0\r\n\r\n") },
-    { "oversized body", post("Content-Length: 5000", "") },
-    { "oversized chunk", post("Transfer-Encoding: chunked", "1000\r\n" + std::string(4096, 'x')) },
-    { "oversized header", post("X-Long: " + std::string(5000, 'x'), "") },
+    { "invalid chunk size", postRequest("Transfer-Encoding: chunked", "zz\r\nabc\r\n0\r\n\r\n") },
+    { "signed chunk size", postRequest("Transfer-Encoding: chunked", "+3\r\nabc\r\n0\r\n\r\n") },
+    { "chunk size with 0x", postRequest("Transfer-Encoding: chunked", "0x3\r\nabc\r\n0\r\n\r\n") },
+    { "chunk longer than its size", postRequest("Transfer-Encoding: chunked", "3\r\nabcde\r\n0\r\n\r\n") },
+    { "bare LF after a chunk size", postRequest("Transfer-Encoding: chunked", "3\nabc\r\n0\r\n\r\n") },
+    { "oversized body", postRequest("Content-Length: 5000", "") },
+    { "oversized chunk", postRequest("Transfer-Encoding: chunked", "1000\r\n" + std::string(4096, 'x')) },
+    { "oversized header", postRequest("X-Long: " + std::string(5000, 'x'), "") },
     { "many fields",
         [] {
             std::string fields = "X-A: b";
             for (int i = 0; i < 800; ++i)
                 fields += "\r\nX-A: b";
-            return post(fields, "");
+            return postRequest(fields, "");
         }() },
     { "oversized path", "GET /broken" + std::string(5000, 'x') + " HTTP/1.1\r\nHost: x\r\n\r\n" },
 };
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(brokenRequestsAreRefusedAndNothingSmuggledRuns, EdgeFixture)
+BOOST_FIXTURE_TEST_CASE(malformedRequestsAreRefusedAndSmuggledOnesNeverRun, RawRequestFixture)
 {
-    for (const auto& broken : brokenRequests) {
+    for (const auto& malformed : malformedRequests) {
         handled.clear();
-        const auto answer = untilClosed(broken.bytes + smuggled);
-        BOOST_TEST(handled.empty(), broken.name << " ran " << (handled.empty() ? "" : handled.back()));
-        BOOST_TEST(
-            answer.find("Damask-Outcome: not-run") != std::string::npos, broken.name << " got " << answer);
+        const auto response = receiveUntilClosed(malformed.bytes + smuggled);
+        BOOST_TEST(handled.empty(), malformed.name << " ran " << (handled.empty() ? "" : handled.back()));
+        BOOST_TEST(response.find("Damask-Outcome: not-run") != std::string::npos,
+            malformed.name << " got " << response);
     }
 }
 
-BOOST_FIXTURE_TEST_CASE(slowRequestEndsAtTheTimeLimit, EdgeFixture)
+BOOST_FIXTURE_TEST_CASE(slowRequestIsRefusedAtItsDeadline, RawRequestFixture)
 {
-    // One byte at a time keeps an idle timeout from ever firing.
-    const std::string starts[]
-        = { "GET /slow", "GET /slow HTTP/1.1\r\nX-Slow: ", post("Content-Length: 900", ""),
-              post("Transfer-Encoding: chunked", "3e7\r\n") };
-    for (const auto& start : starts) {
+    // A caller that sends one byte at a time never reaches the idle timeout. The request timeout must end it.
+    const std::string prefixes[]
+        = { "GET /slow", "GET /slow HTTP/1.1\r\nX-Slow: ", postRequest("Content-Length: 900", ""),
+              postRequest("Transfer-Encoding: chunked", "3e7\r\n") };
+    for (const auto& prefix : prefixes) {
         RawCaller caller(loop.base(), address);
-        caller.send(start);
-        Timer drip(loop.base(), [&] { caller.send("a"); });
-        drip.startPeriodic(5ms);
-        BOOST_TEST(loop.runUntil([&] { return caller.isClosed(); }, 3s), "still open: " << start);
+        caller.send(prefix);
+        Timer sendByte(loop.base(), [&] { caller.send("a"); });
+        sendByte.startPeriodic(5ms);
+        BOOST_TEST(loop.runUntil([&] { return caller.isClosed(); }, 3s), "still open: " << prefix);
         BOOST_TEST(caller.received().find("408 Request Timeout") != std::string::npos, caller.received());
         BOOST_TEST(caller.received().find("Damask-Outcome: not-run") != std::string::npos);
     }
     BOOST_TEST(handled.empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(endlessRequestsEndAtTheSizeLimits, EdgeFixture)
+BOOST_FIXTURE_TEST_CASE(endlessRequestsAreRefusedAtTheSizeLimits, RawRequestFixture)
 {
-    const std::string starts[]
-        = { "GET /endless HTTP/1.1\r\nHost: x\r\n", "GET /endless", post("Transfer-Encoding: chunked", "") };
-    const std::string parts[] = { "X-More: and more\r\n", "xxxxxxxxxxxxxxxx", "5\r\nabcde\r\n" };
-    for (std::size_t kind = 0; kind < std::size(starts); ++kind) {
+    const std::string prefixes[] = { "GET /endless HTTP/1.1\r\nHost: x\r\n", "GET /endless",
+        postRequest("Transfer-Encoding: chunked", "") };
+    const std::string repeatedParts[] = { "X-More: and more\r\n", "xxxxxxxxxxxxxxxx", "5\r\nabcde\r\n" };
+    for (std::size_t kind = 0; kind < std::size(prefixes); ++kind) {
         RawCaller caller(loop.base(), address);
-        caller.send(starts[kind]);
+        caller.send(prefixes[kind]);
         std::size_t sent = 0;
-        Timer more(loop.base(), [&] {
+        Timer sendMore(loop.base(), [&] {
             for (int i = 0; i < 10; ++i)
-                caller.send(parts[kind]);
-            sent += 10 * parts[kind].size();
+                caller.send(repeatedParts[kind]);
+            sent += 10 * repeatedParts[kind].size();
         });
-        more.startPeriodic(1ms);
-        BOOST_TEST(loop.runUntil([&] { return caller.isClosed(); }, 3s), "still open: " << starts[kind]);
+        sendMore.startPeriodic(1ms);
+        BOOST_TEST(loop.runUntil([&] { return caller.isClosed(); }, 3s), "still open: " << prefixes[kind]);
         BOOST_TEST(caller.received().find("HTTP/1.1 4") == 0u, caller.received());
         BOOST_TEST(caller.received().find("408") == std::string::npos);
     }
     BOOST_TEST(handled.empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(idleConnectionOutlivesTheRequestTimeLimit, EdgeFixture)
+BOOST_FIXTURE_TEST_CASE(idleConnectionStaysOpenPastTheRequestTimeout, RawRequestFixture)
 {
     RawCaller caller(loop.base(), address);
     for (std::size_t i = 1; i <= 2; ++i) {
@@ -172,78 +173,78 @@
     }
 }
 
-BOOST_FIXTURE_TEST_CASE(callerThatClosesWhilePausedIsNoticed, EdgeFixture)
+BOOST_FIXTURE_TEST_CASE(callerDisconnectDuringPausedRequestIsDetected, RawRequestFixture)
 {
     auto caller = std::make_unique<RawCaller>(loop.base(), address);
     caller->send("GET /hold HTTP/1.1\r\nHost: x\r\n\r\n");
-    BOOST_TEST(loop.runUntil([&] { return !held.empty(); }, 3s));
+    BOOST_TEST(loop.runUntil([&] { return !heldExchanges.empty(); }, 3s));
     caller.reset();
-    BOOST_TEST(loop.runUntil([&] { return gone == 1; }, 3s));
-    BOOST_TEST(!held.front()->isOpen());
-    held.front()->reply({ 200, {}, "too late" });
+    BOOST_TEST(loop.runUntil([&] { return disconnects == 1; }, 3s));
+    BOOST_TEST(!heldExchanges.front()->isOpen());
+    heldExchanges.front()->reply({ 200, {}, "too late" });
     BOOST_TEST(loop.runUntil([&] { return server.connections() == 0; }, 3s));
 }
 
-BOOST_FIXTURE_TEST_CASE(pipelinedRequestsWaitForTheHeldOne, EdgeFixture)
+BOOST_FIXTURE_TEST_CASE(pipelinedRequestsWaitForThePreviousResponse, RawRequestFixture)
 {
     RawCaller caller(loop.base(), address);
     caller.send("POST /hold HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc"
                 "GET /b HTTP/1.1\r\nHost: x\r\n\r\nGET /c HTTP/1.1\r\nHost: x\r\n\r\n");
-    BOOST_TEST(loop.runUntil([&] { return !held.empty(); }, 3s));
-    loop.runUntil([] { return false; }, 500ms); // longer than a request may take to arrive
+    BOOST_TEST(loop.runUntil([&] { return !heldExchanges.empty(); }, 3s));
+    loop.runUntil([] { return false; }, 500ms); // longer than the request timeout
     BOOST_TEST(handled.size() == 1u);
-    held.front()->reply({ 200, {}, "held;" });
+    heldExchanges.front()->reply({ 200, {}, "held;" });
     BOOST_TEST(loop.runUntil([&] { return caller.received().find("path=/c;") != std::string::npos; }, 3s));
     BOOST_TEST(caller.received().find("held;") < caller.received().find("path=/b;"));
     BOOST_TEST(caller.received().find("path=/b;") < caller.received().find("path=/c;"));
 }
 
-BOOST_FIXTURE_TEST_CASE(brokenRequestBehindAHeldOneIsRefusedInItsTurn, EdgeFixture)
+BOOST_FIXTURE_TEST_CASE(malformedPipelinedRequestIsRefusedAfterThePreviousResponse, RawRequestFixture)
 {
     RawCaller caller(loop.base(), address);
     caller.send(
         "GET /hold HTTP/1.1\r\nHost: x\r\n\r\nGET /bro\x01ken HTTP/1.1\r\nHost: x\r\n\r\n" + smuggled);
-    BOOST_TEST(loop.runUntil([&] { return !held.empty(); }, 3s));
-    held.front()->reply({ 200, {}, "held;" });
+    BOOST_TEST(loop.runUntil([&] { return !heldExchanges.empty(); }, 3s));
+    heldExchanges.front()->reply({ 200, {}, "held;" });
     BOOST_TEST(loop.runUntil([&] { return caller.isClosed(); }, 3s));
     BOOST_TEST(caller.received().find("held;") != std::string::npos);
     BOOST_TEST(handled.size() == 1u);
 }
 
-BOOST_FIXTURE_TEST_CASE(connectionEndsWithItsAnswerWhenTheCallerAsksForIt, EdgeFixture)
+BOOST_FIXTURE_TEST_CASE(connectionClosesAfterTheResponseIfTheCallerAsks, RawRequestFixture)
 {
     const std::string requests[]
         = { "GET /a HTTP/1.0\r\n\r\n", "GET /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n" };
     for (const auto& request : requests)
-        BOOST_TEST(untilClosed(request).find("path=/a;") != std::string::npos, request);
+        BOOST_TEST(receiveUntilClosed(request).find("path=/a;") != std::string::npos, request);
 }
 
-BOOST_FIXTURE_TEST_CASE(drainingAnswersCloseTheirConnections, EdgeFixture)
+BOOST_FIXTURE_TEST_CASE(responsesWhileDrainingCloseTheirConnections, RawRequestFixture)
 {
     RawCaller busy(loop.base(), address);
     RawCaller idle(loop.base(), address);
     busy.send("GET /hold HTTP/1.1\r\nHost: x\r\n\r\n");
     idle.send("GET /a HTTP/1.1\r\nHost: x\r\n\r\n");
-    BOOST_TEST(loop.runUntil([&] { return held.size() == 1 && !idle.received().empty(); }, 3s));
+    BOOST_TEST(loop.runUntil([&] { return heldExchanges.size() == 1 && !idle.received().empty(); }, 3s));
     server.startDraining();
     server.closeIdle();
     BOOST_TEST(loop.runUntil([&] { return idle.isClosed(); }, 3s));
     BOOST_TEST(!busy.isClosed());
-    held.front()->reply({ 200, {}, "held;" });
+    heldExchanges.front()->reply({ 200, {}, "held;" });
     BOOST_TEST(loop.runUntil([&] { return busy.isClosed(); }, 3s));
     BOOST_TEST(busy.received().find("Connection: close") != std::string::npos);
     BOOST_TEST(busy.received().find("held;") != std::string::npos);
     BOOST_TEST(!busy.wasReset());
 }
 
-BOOST_FIXTURE_TEST_CASE(closingIdleConnectionsCutsNoAnswerThatIsBeingSent, EdgeFixture)
+BOOST_FIXTURE_TEST_CASE(closingIdleConnectionsDoesNotInterruptAResponse, RawRequestFixture)
 {
     RawCaller caller(loop.base(), address);
     caller.send("GET /hold HTTP/1.1\r\nHost: x\r\n\r\n");
-    BOOST_TEST(loop.runUntil([&] { return !held.empty(); }, 3s));
+    BOOST_TEST(loop.runUntil([&] { return !heldExchanges.empty(); }, 3s));
     std::string body;
-    body.resize(20'000'000, 'x'); // more than the sockets' buffers take
-    held.front()->reply({ 200, {}, body });
+    body.resize(20'000'000, 'x'); // more than the socket buffers hold
+    heldExchanges.front()->reply({ 200, {}, body });
     BOOST_TEST(server.isSending());
     server.closeIdle();
     BOOST_TEST(loop.runUntil([&] { return caller.received().size() > body.size(); }, 10s));
--- a/src/libnet/http_test.cpp
+++ b/src/libnet/http_test.cpp
@@ -1,3 +1,5 @@
+/// \file
+/// Tests of the HTTP server and client together, and of the server with raw requests.
 #include <boost/test/unit_test.hpp>
 
 #include <damaskworks/http.h>
@@ -14,14 +16,14 @@
 
 namespace {
 
-/// Sends raw bytes over one connection and collects what comes back until the server closes it or
-/// \p done says that enough has come.
+/// Sends \p bytes over one connection. Returns what the server sends until it closes the connection or until
+/// \p done returns true for the bytes received.
 std::string rawExchange(
     Loop& loop, std::uint16_t port, const std::string& bytes, std::function<bool(const std::string&)> done)
 {
     struct State {
         std::string received;
-        bool closed = false;
+        bool isClosed = false;
     } state;
     auto* bev = bufferevent_socket_new(loop.base(), -1, BEV_OPT_CLOSE_ON_FREE);
     sockaddr_in target {};
@@ -35,18 +37,18 @@
     };
     auto onEvent = [](bufferevent*, short events, void* argument) {
         if (events & (BEV_EVENT_EOF | BEV_EVENT_ERROR))
-            static_cast<State*>(argument)->closed = true;
+            static_cast<State*>(argument)->isClosed = true;
     };
     bufferevent_setcb(bev, onRead, nullptr, onEvent, &state);
     bufferevent_enable(bev, EV_READ | EV_WRITE);
     bufferevent_socket_connect(bev, reinterpret_cast<sockaddr*>(&target), sizeof(target));
     bufferevent_write(bev, bytes.data(), bytes.size());
-    loop.runUntil([&] { return state.closed || done(state.received); }, 5s);
+    loop.runUntil([&] { return state.isClosed || done(state.received); }, 5s);
     bufferevent_free(bev);
     return state.received;
 }
 
-std::size_t occurrences(const std::string& text, const std::string& part)
+std::size_t countOccurrences(const std::string& text, const std::string& part)
 {
     std::size_t count = 0;
     for (auto at = text.find(part); at != std::string::npos; at = text.find(part, at + part.size()))
@@ -71,11 +73,11 @@
 {
     const std::string one = "GET /a HTTP/1.1\r\nHost: x\r\n\r\n";
     const std::string two = "GET /b HTTP/1.1\r\nHost: x\r\n\r\n";
-    const auto answer = rawExchange(
-        loop, port, one + two + one, [](const auto& text) { return occurrences(text, ";") == 3; });
+    const auto response = rawExchange(
+        loop, port, one + two + one, [](const auto& text) { return countOccurrences(text, ";") == 3; });
     BOOST_TEST(handled == 3);
-    BOOST_TEST(answer.find("path=/a;") < answer.find("path=/b;"));
-    BOOST_TEST(answer.find("path=/b;") < answer.rfind("path=/a;"));
+    BOOST_TEST(response.find("path=/a;") < response.find("path=/b;"));
+    BOOST_TEST(response.find("path=/b;") < response.rfind("path=/a;"));
 }
 
 BOOST_FIXTURE_TEST_CASE(ambiguousFramingIsRefusedBeforeTheHandler, ServerFixture)
@@ -89,30 +91,31 @@
         "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 5000\r\n\r\n" + smuggled,
     };
     for (const auto& bytes : cases) {
-        const auto answer = rawExchange(loop, port, bytes, [](const auto&) { return false; });
-        BOOST_TEST(answer.find("Damask-Outcome: not-run") != std::string::npos, bytes << " got " << answer);
-        BOOST_TEST(answer.find("smuggled") == std::string::npos);
+        const auto response = rawExchange(loop, port, bytes, [](const auto&) { return false; });
+        BOOST_TEST(
+            response.find("Damask-Outcome: not-run") != std::string::npos, bytes << " got " << response);
+        BOOST_TEST(response.find("smuggled") == std::string::npos);
     }
     BOOST_TEST(handled == 0);
     BOOST_TEST(server.refusedRequests() == 4u);
 }
 
-BOOST_FIXTURE_TEST_CASE(clientGetsWholeAnswersAndReusesConnections, ServerFixture)
+BOOST_FIXTURE_TEST_CASE(concurrentRequestsGetTheirOwnResponses, ServerFixture)
 {
     HttpClient client(loop.base(), {});
-    int answers = 0;
+    int responses = 0;
     for (int i = 0; i < 20; ++i) {
         client.send(
             { "127.0.0.1", port }, { .path = "/r" + std::to_string(i) }, 2000ms, [&, i](HttpResult result) {
                 BOOST_REQUIRE(result);
                 BOOST_TEST(result->body == "path=/r" + std::to_string(i) + ";");
-                ++answers;
+                ++responses;
             });
     }
-    BOOST_TEST(loop.runUntil([&] { return answers == 20; }, 5s));
+    BOOST_TEST(loop.runUntil([&] { return responses == 20; }, 5s));
 }
 
-BOOST_FIXTURE_TEST_CASE(refusedConnectionLeavesNoByte, ServerFixture)
+BOOST_FIXTURE_TEST_CASE(refusedConnectionReportsNoBytesSent, ServerFixture)
 {
     server.stopAccepting();
     HttpClient client(loop.base(), {});
