--- a/src/http.platform/http_platform.cpp
+++ b/src/http.platform/http_platform.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Platform adapter "http": JSON over HTTP.
+/// Platform adapter "http": calls the platform's API with JSON over HTTP.
 #include <damaskworks/platform.h>
 #include <damaskworks/registry.h>
 
@@ -10,17 +10,21 @@
 
 using nlohmann::json;
 
-PlatformError fromClientError(const HttpClientError& error, bool writes)
+/// Converts a failure to get a response. A write has an unknown outcome once any byte of the request may have
+/// left.
+PlatformError fromClientError(const HttpClientError& error, bool isWrite)
 {
-    const bool unknown = writes && error.bytesSent;
-    return { unknown ? PlatformFailure::OutcomeUnknown : PlatformFailure::Unavailable,
-        "no answer from the platform", "", 0 };
+    const bool isOutcomeUnknown = isWrite && error.bytesSent;
+    return { isOutcomeUnknown ? PlatformFailure::OutcomeUnknown : PlatformFailure::Unavailable,
+        "no response from the platform", "", 0 };
 }
 
-PlatformError fromStatus(const HttpResponse& response, bool writes)
+/// Converts a response other than 200. A write has an unknown outcome after a status that the platform's API
+/// does not define.
+PlatformError fromStatus(const HttpResponse& response, bool isWrite)
 {
     PlatformError error;
-    error.detail = "status " + std::to_string(response.status);
+    error.detail = "HTTP status " + std::to_string(response.status);
     const auto body = json::parse(response.body, nullptr, false);
     switch (response.status) {
     case 404:
@@ -43,13 +47,13 @@
         error.failure = PlatformFailure::Unavailable;
         break;
     default:
-        error.failure = writes ? PlatformFailure::OutcomeUnknown : PlatformFailure::Unavailable;
+        error.failure = isWrite ? PlatformFailure::OutcomeUnknown : PlatformFailure::Unavailable;
         break;
     }
     return error;
 }
 
-Row toRow(const json& value)
+Row parseRow(const json& value)
 {
     Row row;
     row.key = value.value("key", "");
@@ -59,16 +63,16 @@
     return row;
 }
 
-Changes toChanges(const json& value)
+Changes parseChanges(const json& value)
 {
     Changes changes;
     changes.version = value.value("version", TableVersion { 0 });
     for (const auto& row : value.value("rows", json::array()))
-        changes.rows.push_back(toRow(row));
+        changes.rows.push_back(parseRow(row));
     return changes;
 }
 
-ListedVm toListedVm(const json& value)
+ListedVm parseListedVm(const json& value)
 {
     ListedVm vm;
     vm.id = value.value("id", "");
@@ -81,7 +85,7 @@
     return vm;
 }
 
-VmReport toVmReport(const json& value)
+VmReport parseVmReport(const json& value)
 {
     VmReport report;
     report.id = value.value("id", "");
@@ -94,7 +98,7 @@
     return report;
 }
 
-TaskReport toTaskReport(const json& value)
+TaskReport parseTaskReport(const json& value)
 {
     TaskReport report;
     report.task = value.value("task", "");
@@ -123,26 +127,26 @@
 public:
     explicit HttpPlatform(const PlatformContext& context)
         : m_context(context)
-        , m_client(context.base, HttpLimits { .bodyBytes = maxAnswerBytes })
+        , m_httpClient(context.base, HttpLimits { .bodyBytes = maxResponseBytes })
     {
     }
 
     void readRow(std::string_view key, PlatformCallback<Row> callback) override
     {
         call<Row>(
-            "GET", "/table/row", "key=" + http::percentEncode(key), "", false, toRow, std::move(callback));
+            "GET", "/table/row", "key=" + http::percentEncode(key), "", false, parseRow, std::move(callback));
     }
 
     void readRows(std::string_view prefix, PlatformCallback<Changes> callback) override
     {
-        call<Changes>("GET", "/table/rows", "prefix=" + http::percentEncode(prefix), "", false, toChanges,
+        call<Changes>("GET", "/table/rows", "prefix=" + http::percentEncode(prefix), "", false, parseChanges,
             std::move(callback));
     }
 
     void readChanges(std::string_view prefix, TableVersion since, PlatformCallback<Changes> callback) override
     {
         const auto query = "prefix=" + http::percentEncode(prefix) + "&since=" + std::to_string(since);
-        call<Changes>("GET", "/table/changes", query, "", false, toChanges, std::move(callback));
+        call<Changes>("GET", "/table/changes", query, "", false, parseChanges, std::move(callback));
     }
 
     void commit(const Transaction& transaction, PlatformCallback<TableVersion> callback) override
@@ -162,27 +166,27 @@
     void writeObject(std::string_view name, std::string value, PlatformCallback<bool> callback) override
     {
         const json body = { { "value", value } };
-        call<bool>(
-            "PUT", "/objects/" + http::percentEncode(name), "", body.dump(), true, done, std::move(callback));
+        call<bool>("PUT", "/objects/" + http::percentEncode(name), "", body.dump(), true, alwaysTrue,
+            std::move(callback));
     }
 
     void listVms(PlatformCallback<std::vector<ListedVm>> callback) override
     {
         call<std::vector<ListedVm>>(
-            "GET", "/vms", "", "", false, listOf<ListedVm, toListedVm>, std::move(callback));
+            "GET", "/vms", "", "", false, parseItems<ListedVm, parseListedVm>, std::move(callback));
     }
 
     void commandVm(std::string_view vm, VmCommand command, PlatformCallback<bool> callback) override
     {
         const auto path
             = "/vms/" + http::percentEncode(vm) + "/" + std::string(nameOf(vmCommandNames, command));
-        call<bool>("POST", path, "", "{}", true, done, std::move(callback));
+        call<bool>("POST", path, "", "{}", true, alwaysTrue, std::move(callback));
     }
 
     void reportVms(PlatformCallback<std::vector<VmReport>> callback) override
     {
         call<std::vector<VmReport>>(
-            "GET", "/reports/vms", "", "", false, listOf<VmReport, toVmReport>, std::move(callback));
+            "GET", "/reports/vms", "", "", false, parseItems<VmReport, parseVmReport>, std::move(callback));
     }
 
     void commandTask(const TaskRequest& request, PlatformCallback<bool> callback) override
@@ -190,28 +194,28 @@
         const json body = { { "task", request.task }, { "vm", request.vm },
             { "leaseEpoch", request.leaseEpoch }, { "job", request.job }, { "spec", request.spec } };
         const auto path = "/tasks/" + std::string(nameOf(taskCommandNames, request.command));
-        call<bool>("POST", path, "", body.dump(), true, done, std::move(callback));
+        call<bool>("POST", path, "", body.dump(), true, alwaysTrue, std::move(callback));
     }
 
     void reportTasks(PlatformCallback<std::vector<TaskReport>> callback) override
     {
-        call<std::vector<TaskReport>>(
-            "GET", "/reports/tasks", "", "", false, listOf<TaskReport, toTaskReport>, std::move(callback));
+        call<std::vector<TaskReport>>("GET", "/reports/tasks", "", "", false,
+            parseItems<TaskReport, parseTaskReport>, std::move(callback));
     }
 
     void announceEntry(std::string_view vm, bool accepting, PlatformCallback<bool> callback) override
     {
         const json body = { { "accepting", accepting } };
-        call<bool>(
-            "POST", "/balancer/" + http::percentEncode(vm), "", body.dump(), true, done, std::move(callback));
+        call<bool>("POST", "/balancer/" + http::percentEncode(vm), "", body.dump(), true, alwaysTrue,
+            std::move(callback));
     }
 
 private:
-    static constexpr std::size_t maxAnswerBytes = 64 * 1024 * 1024;
+    static constexpr std::size_t maxResponseBytes = 64 * 1024 * 1024;
 
-    static bool done(const json&) { return true; }
+    static bool alwaysTrue(const json&) { return true; }
 
-    template <typename T, T (*convert)(const json&)> static std::vector<T> listOf(const json& value)
+    template <typename T, T (*convert)(const json&)> static std::vector<T> parseItems(const json& value)
     {
         std::vector<T> out;
         for (const auto& item : value.value("items", json::array()))
@@ -220,38 +224,38 @@
     }
 
     template <typename T, typename Convert>
-    void call(std::string method, std::string path, std::string query, std::string body, bool writes,
+    void call(std::string method, std::string path, std::string query, std::string body, bool isWrite,
         Convert convert, PlatformCallback<T> callback)
     {
         HttpRequest request { std::move(method), std::move(path), std::move(query),
-            { { "User-Agent", m_context.client } }, std::move(body) };
-        auto onResult = [writes, convert, callback = std::move(callback)](HttpResult result) {
+            { { "User-Agent", m_context.clientName } }, std::move(body) };
+        auto onResult = [isWrite, convert, callback = std::move(callback)](HttpResult result) {
             if (!result)
-                return callback(tl::make_unexpected(fromClientError(result.error(), writes)));
+                return callback(tl::make_unexpected(fromClientError(result.error(), isWrite)));
             if (result->status != 200)
-                return callback(tl::make_unexpected(fromStatus(*result, writes)));
+                return callback(tl::make_unexpected(fromStatus(*result, isWrite)));
             const auto value = json::parse(result->body, nullptr, false);
             if (!value.is_object())
                 return callback(tl::make_unexpected(
-                    PlatformError { writes ? PlatformFailure::OutcomeUnknown : PlatformFailure::Unavailable,
-                        "malformed answer", "", 0 }));
+                    PlatformError { isWrite ? PlatformFailure::OutcomeUnknown : PlatformFailure::Unavailable,
+                        "malformed response from the platform", "", 0 }));
             std::optional<T> converted;
             try {
                 converted = convert(value);
             } catch (const json::exception&) {
-                // A member of an unexpected type; reported below as a malformed answer.
+                // A member has an unexpected type; reported below as a malformed response.
             }
             if (!converted)
                 return callback(tl::make_unexpected(
-                    PlatformError { writes ? PlatformFailure::OutcomeUnknown : PlatformFailure::Unavailable,
-                        "malformed answer", "", 0 }));
+                    PlatformError { isWrite ? PlatformFailure::OutcomeUnknown : PlatformFailure::Unavailable,
+                        "malformed response from the platform", "", 0 }));
             callback(std::move(*converted));
         };
-        m_client.send(m_context.address, request, m_context.timeout, std::move(onResult));
+        m_httpClient.send(m_context.address, request, m_context.timeout, std::move(onResult));
     }
 
     PlatformContext m_context;
-    HttpClient m_client;
+    HttpClient m_httpClient;
 };
 
 [[maybe_unused]] const bool registered = Registry<PlatformFactory>::instance().add(
--- a/src/http.trace/http_trace.cpp
+++ b/src/http.trace/http_trace.cpp
@@ -1,6 +1,7 @@
 /// \file
-/// Trace exporter "http": posts batches of spans, one JSON object a line, to a collector. Spans that
-/// the collector does not take in time are dropped and counted in the batch that follows.
+/// Trace exporter "http": posts batches of spans to a collector, one JSON object per line. While a post is in
+/// flight, spans are buffered up to a limit. The exporter drops spans beyond it and reports their number in a
+/// header of the next batch. A batch whose post fails is lost and not counted.
 #include <damaskworks/http.h>
 #include <damaskworks/loop.h>
 #include <damaskworks/registry.h>
@@ -18,48 +19,48 @@
     HttpExporter(event_base* base, const Address& collector)
         : m_collector(collector)
         , m_client(base, {})
-        , m_flush(base, [this] { flush(); })
+        , m_flushTimer(base, [this] { flush(); })
     {
-        m_flush.startPeriodic(flushPeriod);
+        m_flushTimer.startPeriodic(flushPeriod);
     }
 
     void exportSpan(const Span& span) override
     {
-        if (m_buffered >= maxBufferedSpans) {
-            ++m_dropped;
+        if (m_bufferedSpans >= maxBufferedSpans) {
+            ++m_droppedSpans;
             return;
         }
-        ++m_buffered;
-        m_lines += trace::toJson(span) + "\n";
+        ++m_bufferedSpans;
+        m_buffer += trace::toJson(span) + "\n";
     }
 
 private:
     void flush()
     {
-        if (m_sending || m_buffered == 0)
+        if (m_isSending || m_bufferedSpans == 0)
             return;
-        m_sending = true;
+        m_isSending = true;
         HttpRequest request { "POST", "/v1/spans", "", { { "Content-Type", "application/x-ndjson" } },
-            std::move(m_lines) };
-        if (m_dropped > 0)
-            request.headers.emplace_back("Damask-Dropped-Spans", std::to_string(m_dropped));
-        m_lines.clear();
-        m_buffered = 0;
-        m_dropped = 0;
+            std::move(m_buffer) };
+        if (m_droppedSpans > 0)
+            request.headers.emplace_back("Damask-Dropped-Spans", std::to_string(m_droppedSpans));
+        m_buffer.clear();
+        m_bufferedSpans = 0;
+        m_droppedSpans = 0;
         m_client.send(
-            m_collector, request, collectorTimeout, [this](const HttpResult&) { m_sending = false; });
+            m_collector, request, collectorTimeout, [this](const HttpResult&) { m_isSending = false; });
     }
 
     Address m_collector;
     HttpClient m_client;
-    Timer m_flush;
-    std::string m_lines;
-    std::size_t m_buffered = 0;
-    std::uint64_t m_dropped = 0;
-    bool m_sending = false;
+    Timer m_flushTimer;
+    std::string m_buffer;
+    std::size_t m_bufferedSpans = 0;
+    std::uint64_t m_droppedSpans = 0;
+    bool m_isSending = false;
 };
 
-std::unique_ptr<TraceExporter> make(const TraceExporterContext& context)
+std::unique_ptr<TraceExporter> makeExporter(const TraceExporterContext& context)
 {
     const auto collector = http::parseAddress(context.target);
     if (!collector)
@@ -67,7 +68,7 @@
     return std::make_unique<HttpExporter>(context.base, *collector);
 }
 
-[[maybe_unused]] const bool registered = Registry<TraceExporterFactory>::instance().add("http", make);
+[[maybe_unused]] const bool registered = Registry<TraceExporterFactory>::instance().add("http", makeExporter);
 
 } // namespace
 } // namespace damask
--- a/src/include/damaskworks/catalogue.h
+++ b/src/include/damaskworks/catalogue.h
@@ -1,5 +1,5 @@
 /// \file
-/// All resources as known to one node, built from the rows of the mirror.
+/// In-memory catalogue of all resources that one node knows, built from the rows of its mirror.
 #pragma once
 
 #include <damaskworks/resource.h>
@@ -12,21 +12,23 @@
 
 namespace damask {
 
-/// Resources by kind and name. Rows may arrive in any order of spec and status.
+/// Resources by kind and name. A resource's spec row and status row may arrive in either order.
 class Catalogue {
 public:
     using Key = std::pair<Kind, std::string>;
 
-    /// Takes over one changed row; returns the resource's key, or nothing if it is no resource's row.
+    /// Applies one changed row. Returns the key of the resource, or nothing if the row is not part of a
+    /// resource.
     std::optional<Key> apply(const Row& row);
-    /// The resource, or nullptr if it has no spec.
+    /// Returns the resource, or nullptr if it has no spec.
     const Resource* find(Kind kind, std::string_view name) const;
-    /// All resources of one kind, by name.
+    /// Returns all resources of one kind, sorted by name.
     std::vector<const Resource*> list(Kind kind) const;
-    /// Resources of one kind that belong to \p pool, by name: a VM by its present pool, others by
-    /// their spec's. The cost follows their number, not the catalogue's size.
+    /// Returns the resources of one kind that belong to \p pool, sorted by name. A VM belongs to the pool in
+    /// its status if there is one, every other resource to the pool in its spec. An index by pool makes
+    /// the cost depend on the number of results, not on the size of the catalogue.
     std::vector<const Resource*> listOfPool(Kind kind, std::string_view pool) const;
-    /// Version of the status row; 0 if there is none.
+    /// Returns the version of the status row; 0 if there is none.
     TableVersion statusVersion(Kind kind, std::string_view name) const;
 
 private:
@@ -34,13 +36,13 @@
         Resource resource;
         bool hasSpec = false;
         TableVersion statusVersion = 0;
-        std::string pool; ///< under which it is indexed
+        std::string pool; ///< pool under which the index holds the resource; empty: not indexed
     };
-    void index(const Key& key, Entry& entry);
-    void unindex(const Key& key, const Entry& entry);
+    void addToIndex(const Key& key, Entry& entry);
+    void removeFromIndex(const Key& key, const Entry& entry);
 
     std::map<Key, Entry> m_entries;
-    std::map<Key, std::set<std::string>> m_byPool; ///< names by kind and pool
+    std::map<Key, std::set<std::string>> m_byPool; ///< resource names by kind and pool
 };
 
 } // namespace damask
--- a/src/include/damaskworks/platform.h
+++ b/src/include/damaskworks/platform.h
@@ -1,6 +1,8 @@
 /// \file
-/// The platform as damaskworks sees it: a transactional table, an object store, the list of VMs,
-/// and control of VMs and tasks. Adapters are plug-ins found by name.
+/// Interface to the platform that hosts the fleet: a transactional table, an object store, the list of VMs,
+/// and the control of VMs and tasks. Adapters are plug-ins that Registry finds by name.
+///
+/// All calls are asynchronous; errors are PlatformError values in the callbacks.
 #pragma once
 
 #include <damaskworks/http.h>
@@ -20,49 +22,50 @@
 
 namespace damask {
 
-/// Version of the table after a commit. Each commit raises it by one; 0 means "no such row".
+/// Version of the table. Each commit increases it by one. As the version of a row, 0 means that the row does
+/// not exist.
 using TableVersion = std::uint64_t;
 
 /// One row of the table.
 struct Row {
     std::string key;
-    TableVersion version = 0; ///< of the commit that last wrote the row
+    TableVersion version = 0; ///< table version of the commit that last wrote the row
     std::string value; ///< JSON text
-    bool deleted = false;
+    bool deleted = false; ///< in a list of changes: the commit deleted the row
 };
 
-/// The row must have exactly this version when the transaction commits; 0: it must not exist.
+/// Condition of a transaction: the row must have exactly this version at the commit; 0: it must not exist.
 struct RowCondition {
     std::string key;
     TableVersion version = 0;
 };
 
-/// Sets a row, or deletes it when there is no value.
+/// Write of one row; without a value it deletes the row.
 struct RowWrite {
     std::string key;
     std::optional<std::string> value;
 };
 
-/// Conditions and writes that take effect together or not at all.
+/// Writes that commit atomically if all conditions hold.
 struct Transaction {
     std::vector<RowCondition> conditions;
     std::vector<RowWrite> writes;
 };
 
-/// Commits after a version, in order.
+/// Rows as read from the table at one version: all of them, or the changes after an earlier version.
 struct Changes {
-    TableVersion version = 0; ///< newest version covered
+    TableVersion version = 0; ///< table version at the read
     std::vector<Row> rows;
 };
 
-/// What went wrong at the platform.
+/// Kinds of errors of the platform.
 enum class PlatformFailure {
-    Unavailable, ///< nothing was done
-    OutcomeUnknown, ///< a write may have taken effect
-    Conflict, ///< a condition did not hold; nothing was done
-    NotFound,
-    HistoryGone, ///< the changes asked for are no longer kept; read everything again
-    Invalid,
+    Unavailable, ///< no usable response; nothing was written
+    OutcomeUnknown, ///< the response was lost; a write may or may not have taken effect
+    Conflict, ///< a condition of the transaction did not hold; nothing was written
+    NotFound, ///< the row or object does not exist
+    HistoryGone, ///< the table no longer keeps the requested changes; the caller must read all rows
+    Invalid, ///< the platform refused the request as malformed
 };
 
 inline constexpr NameTable<PlatformFailure, 6> platformFailureNames { {
@@ -74,18 +77,18 @@
     { PlatformFailure::Invalid, "invalid" },
 } };
 
-/// An error of the platform layer.
+/// Error of a call to the platform.
 struct PlatformError {
     PlatformFailure failure = PlatformFailure::Unavailable;
-    std::string detail;
-    std::string key; ///< for Conflict: the row whose condition failed
-    TableVersion presentVersion = 0; ///< for Conflict: that row's version
+    std::string detail; ///< description for people
+    std::string key; ///< for Conflict: key of the row whose condition failed
+    TableVersion presentVersion = 0; ///< for Conflict: current version of that row
 };
 
 template <typename T> using PlatformResult = tl::expected<T, PlatformError>;
 template <typename T> using PlatformCallback = std::function<void(PlatformResult<T>)>;
 
-/// State of a VM in the platform's list, which lags.
+/// State of a VM in the platform's list. The list lags behind the VM's actual state.
 enum class ListedState { Live, Leaving, Gone };
 
 inline constexpr NameTable<ListedState, 3> listedStateNames { {
@@ -94,7 +97,7 @@
     { ListedState::Gone, "gone" },
 } };
 
-/// What a VM in the platform's list is for.
+/// Role of a VM: an entry VM takes callers' requests and forwards them to the endpoints of worker VMs.
 enum class VmRole { Entry, Worker };
 
 inline constexpr NameTable<VmRole, 2> vmRoleNames { {
@@ -109,11 +112,11 @@
     ListedState state = ListedState::Live;
     std::string dataCentre;
     std::string rack;
-    Address address; ///< of the endpoint, or of an entry VM's peer port
-    std::uint64_t incarnation = 0; ///< grows with each restart or replacement
+    Address address; ///< of a worker's endpoint, or of an entry VM's peer port
+    std::uint64_t incarnation = 0; ///< increases with each restart or replacement of the VM
 };
 
-/// Commands to a VM.
+/// Commands that the platform passes to a VM.
 enum class VmCommand { Drain, Reboot, Attach };
 
 inline constexpr NameTable<VmCommand, 3> vmCommandNames { {
@@ -122,7 +125,7 @@
     { VmCommand::Attach, "attach" },
 } };
 
-/// What a VM says of itself through the platform's control interface.
+/// Report of a VM through the platform's control interface.
 struct VmReport {
     std::string id;
     bool reachable = false;
@@ -133,7 +136,7 @@
     std::uint64_t incarnation = 0;
 };
 
-/// Commands to a task.
+/// Commands that the platform passes to the worker of a task.
 enum class TaskCommand { Start, Checkpoint, Throttle, Stop };
 
 inline constexpr NameTable<TaskCommand, 4> taskCommandNames { {
@@ -157,26 +160,27 @@
 /// A command to run, checkpoint, throttle or stop a task on a VM.
 struct TaskRequest {
     TaskCommand command = TaskCommand::Start;
-    std::string task; ///< unique per attempt at a job
+    std::string task; ///< task name, unique for each attempt at a job
     std::string vm;
-    std::uint64_t leaseEpoch = 0; ///< the worker refuses a lower epoch than it has seen for the task's job
+    /// Fencing token: the worker refuses a lower epoch than it has seen for the task's job.
+    std::uint64_t leaseEpoch = 0;
     std::string job;
-    std::string spec; ///< JSON text handed to the worker
+    std::string spec; ///< JSON text that the worker receives
 };
 
-/// What the platform knows of a task; lags.
+/// Report of a task by the platform. It lags behind the task's actual state.
 struct TaskReport {
     std::string task;
     std::string job;
     std::string vm;
     TaskState state = TaskState::Unknown;
-    double cpuUsed = 0; ///< processors
+    double cpuUsed = 0; ///< in processors
     double memoryUsedMb = 0;
     bool checkpointed = false;
 };
 
-/// Adapter to one kind of platform. Callbacks are called exactly once, on the loop, never from
-/// within the call.
+/// Adapter to one kind of platform. It calls each callback exactly once, on the event loop and never before
+/// the call has returned.
 class Platform {
 public:
     virtual ~Platform() = default;
@@ -184,29 +188,37 @@
     virtual void readRow(std::string_view key, PlatformCallback<Row> callback) = 0;
     /// Reads all rows whose key starts with \p prefix, and the table's version.
     virtual void readRows(std::string_view prefix, PlatformCallback<Changes> callback) = 0;
-    /// Reads the writes to rows under \p prefix after \p since, in commit order, none left out.
+    /// Reads every write after \p since to rows whose key starts with \p prefix, in commit order. Fails with
+    /// HistoryGone if the table no longer keeps all of them.
     virtual void readChanges(std::string_view prefix, TableVersion since, PlatformCallback<Changes> callback)
         = 0;
-    /// Commits a transaction; gives the version of the commit.
+    /// Commits a transaction; the result is the table version of the commit.
     virtual void commit(const Transaction& transaction, PlatformCallback<TableVersion> callback) = 0;
+    /// Reads an object from the object store; NotFound if it does not exist.
     virtual void readObject(std::string_view name, PlatformCallback<std::string> callback) = 0;
+    /// Creates or replaces an object in the object store. Here and below, the value of a bool result means
+    /// nothing; only success or error counts.
     virtual void writeObject(std::string_view name, std::string value, PlatformCallback<bool> callback) = 0;
-    /// The list of VMs; it lags behind reality.
+    /// Reads the platform's list of VMs, which lags behind their actual state.
     virtual void listVms(PlatformCallback<std::vector<ListedVm>> callback) = 0;
+    /// Sends a command to a VM.
     virtual void commandVm(std::string_view vm, VmCommand command, PlatformCallback<bool> callback) = 0;
+    /// Reads the latest reports of the VMs.
     virtual void reportVms(PlatformCallback<std::vector<VmReport>> callback) = 0;
+    /// Sends a command to the worker of a task.
     virtual void commandTask(const TaskRequest& request, PlatformCallback<bool> callback) = 0;
+    /// Reads the latest reports of the tasks.
     virtual void reportTasks(PlatformCallback<std::vector<TaskReport>> callback) = 0;
-    /// Tells the balancer whether this entry VM takes new connections.
+    /// Tells the platform's load balancer whether the entry VM \p vm accepts new connections.
     virtual void announceEntry(std::string_view vm, bool accepting, PlatformCallback<bool> callback) = 0;
 };
 
-/// What an adapter plug-in needs.
+/// Parameters for the creation of a platform adapter.
 struct PlatformContext {
     event_base* base = nullptr;
-    Address address;
-    std::chrono::milliseconds timeout { 2000 };
-    std::string client; ///< name of this process in the platform's records
+    Address address; ///< of the platform
+    std::chrono::milliseconds timeout { 2000 }; ///< for each request to the platform
+    std::string clientName; ///< name by which the platform identifies this process
 };
 
 /// Factory of a platform adapter plug-in, registered in Registry<PlatformFactory>.
--- a/src/include/damaskworks/resource.h
+++ b/src/include/damaskworks/resource.h
@@ -1,6 +1,6 @@
 /// \file
-/// Resources of the administration API: their kinds, the rows that hold them, and the checks on
-/// what operators declare.
+/// Resources of the administration API: their kinds, their rows in the platform's table, and the validation
+/// of the specs that operators write.
 #pragma once
 
 #include <damaskworks/names.h>
@@ -28,7 +28,7 @@
     { Kind::Configuration, "configuration" },
 } };
 
-/// Plural names, as in API paths (`/v1/pools`).
+/// Plural names of the kinds, as in API paths (`/v1/pools`).
 inline constexpr NameTable<Kind, 7> kindPlurals { {
     { Kind::Pool, "pools" },
     { Kind::Job, "jobs" },
@@ -39,60 +39,61 @@
     { Kind::Configuration, "configurations" },
 } };
 
-/// Name of the one Configuration resource that is in force.
+/// Name of the only Configuration resource that may exist.
 inline constexpr std::string_view currentConfiguration = "current";
 
-/// A resource as operators see it. The spec is the operators', the status the controllers'.
+/// A resource. Operators write the spec, controllers write the status.
 struct Resource {
     Kind kind = Kind::Pool;
     std::string name;
-    TableVersion version = 0; ///< version of the spec's row; what a replacement must state
-    std::uint64_t generation = 1; ///< grows by one with each change of the spec
+    TableVersion version = 0; ///< version of the spec row; a request that replaces the spec must state it
+    std::uint64_t generation = 1; ///< increases by one with each change of the spec
     nlohmann::json spec = nlohmann::json::object();
     nlohmann::json status = nlohmann::json::object();
 };
 
-/// One rejected field.
+/// A field that failed validation.
 struct FieldError {
-    std::string field;
-    std::string value;
-    std::string allowed;
+    std::string field; ///< path of the field, such as `spec.routes[0].prefix`
+    std::string value; ///< rejected value, for a field of the spec as JSON text; empty: missing
+    std::string allowed; ///< describes the allowed values, for people
 };
 
 namespace resource {
 
-/// Prefix of all rows of resources.
+/// Key prefix of all rows of resources.
 inline constexpr std::string_view rowPrefix = "f/";
-/// Prefix of the rows that hold specs.
+/// Key prefix of the rows that hold specs.
 inline constexpr std::string_view specPrefix = "f/r/";
-/// Prefix of the rows that hold statuses.
+/// Key prefix of the rows that hold statuses.
 inline constexpr std::string_view statusPrefix = "f/s/";
 
-/// Key of the row that holds the spec.
+/// Key of the row that holds the resource's spec.
 std::string specKey(Kind kind, std::string_view name);
-/// Key of the row that holds the status.
+/// Key of the row that holds the resource's status.
 std::string statusKey(Kind kind, std::string_view name);
 
-/// Kind and name of a spec or status row.
+/// The parts of the key of a spec or status row.
 struct ParsedKey {
     bool isStatus = false;
     Kind kind = Kind::Pool;
     std::string name;
 };
-/// Takes a row's key apart; nothing if it is not a resource's row.
+/// Parses the key of a row; returns nothing if it is not the key of a resource's row.
 std::optional<ParsedKey> parseKey(std::string_view key);
 
-/// Checks a name and a spec by themselves; returns one error for each field that is wrong.
-/// Optional fields that are missing are filled in with their defaults.
+/// Validates a name and a spec without regard to other resources. Returns one error for each invalid field.
+/// Sets each missing field of \p spec that has a default to it.
 std::vector<FieldError> validate(Kind kind, std::string_view name, nlohmann::json& spec);
 
-/// Text of the spec's row.
+/// Encodes the value of the resource's spec row, as JSON text.
 std::string specRow(const Resource& resource);
-/// Reads a spec's row into \p resource; false if it is malformed.
+/// Decodes the value of a spec row into the generation and spec of \p resource. Returns false, and changes
+/// nothing, if it is malformed.
 bool readSpecRow(std::string_view text, Resource& resource);
-/// A resource as JSON, as the API shows it.
+/// Converts a resource to JSON as the administration API returns it.
 nlohmann::json toJson(const Resource& resource);
-/// The errors as JSON, as the API shows them.
+/// Converts field errors to JSON as the administration API returns them.
 nlohmann::json toJson(const std::vector<FieldError>& errors);
 
 } // namespace resource
--- a/src/include/damaskworks/snapshot.h
+++ b/src/include/damaskworks/snapshot.h
@@ -1,6 +1,6 @@
 /// \file
-/// Snapshots of the mirrored rows in the platform's object store, so that a starting node reads
-/// few rows from the table.
+/// Snapshots of the mirrored rows in the platform's object store. A node that starts from a snapshot reads
+/// only the later changes from the table.
 #pragma once
 
 #include <damaskworks/store.h>
@@ -12,41 +12,48 @@
 namespace damask {
 namespace snapshot {
 
-/// Name of the object that holds the newest snapshot.
+/// Name of the object that holds the latest snapshot.
 inline constexpr std::string_view objectName = "snapshot";
 
-/// Why a snapshot is refused.
-enum class Fault { Malformed, Torn, ForeignCluster, UnknownFormat };
+/// Why decode() refuses a snapshot.
+enum class DecodeFailure {
+    Malformed, ///< not JSON, or a member is missing or has the wrong type
+    HashMismatch, ///< the hash does not match, for example after a partial write
+    ForeignCluster, ///< written by another cluster
+    UnknownFormat, ///< written in another format version
+};
 
-inline constexpr NameTable<Fault, 4> faultNames { {
-    { Fault::Malformed, "malformed" },
-    { Fault::Torn, "torn" },
-    { Fault::ForeignCluster, "foreign_cluster" },
-    { Fault::UnknownFormat, "unknown_format" },
+inline constexpr NameTable<DecodeFailure, 4> decodeFailureNames { {
+    { DecodeFailure::Malformed, "malformed" },
+    { DecodeFailure::HashMismatch, "torn" },
+    { DecodeFailure::ForeignCluster, "foreign_cluster" },
+    { DecodeFailure::UnknownFormat, "unknown_format" },
 } };
 
-/// An error of the snapshot layer.
+/// Error of decode().
 struct Error {
-    Fault fault = Fault::Malformed;
+    DecodeFailure failure = DecodeFailure::Malformed;
 };
 
-/// Text of a snapshot of all rows, with the cluster, the version and an XXH3 hash over them.
+/// Encodes \p set, which must hold all rows, as JSON text with the cluster, the table version and the XXH3
+/// hash of the cluster, the version and the rows.
 std::string encode(const RowSet& set, std::string_view cluster);
-/// Rows of a snapshot that is whole and of \p cluster.
+/// Decodes the text of a snapshot; fails if it is not intact or not of \p cluster.
 tl::expected<RowSet, Error> decode(std::string_view text, std::string_view cluster);
 
 } // namespace snapshot
 
-/// Writes the snapshot while this node is chosen to, at a bounded rate.
+/// Writes snapshots of a mirror to the object store at a limited rate.
 class SnapshotWriter {
 public:
-    /// \p period is the shortest time between two snapshots.
+    /// \p period is the shortest time between two writes.
     SnapshotWriter(Platform& platform, const Mirror& mirror, const Clock& clock, Metrics& metrics,
         std::string cluster, std::chrono::milliseconds period);
 
-    /// Writes a snapshot if \p isChosen, the table is reachable, the period has passed and rows have
-    /// changed since the last snapshot that this node knows of.
-    void consider(bool isChosen);
+    /// Writes a snapshot if \p isWriter (this node is the one that writes snapshots), the mirror's last poll
+    /// of the table succeeded, the period has passed and the table has changed since this node's last
+    /// snapshot.
+    void consider(bool isWriter);
 
 private:
     Platform& m_platform;
@@ -55,8 +62,8 @@
     Metrics& m_metrics;
     std::string m_cluster;
     std::chrono::milliseconds m_period;
-    TimePoint m_lastTried {};
-    TableVersion m_written = 0;
+    TimePoint m_lastAttempt {};
+    TableVersion m_writtenVersion = 0;
 };
 
 } // namespace damask
--- a/src/include/damaskworks/store.h
+++ b/src/include/damaskworks/store.h
@@ -1,6 +1,8 @@
 /// \file
-/// Access to the platform's table: transactions whose outcome is found out even when the answer is
-/// lost, and a local mirror of rows that follows the table.
+/// Access to the platform's table. Store commits transactions and determines their outcome even when the
+/// table's response is lost. Mirror keeps a local copy of rows and polls the table for changes.
+///
+/// Everything here runs on the event loop's thread. Errors are PlatformError values in the callbacks.
 #pragma once
 
 #include <damaskworks/clock.h>
@@ -18,32 +20,39 @@
 
 namespace damask {
 
-/// Limits of Store.
+/// Retry and clean-up limits of Store.
 struct StoreLimits {
-    /// Attempts at finding out the outcome of a lost answer before it is reported as unknown.
-    int settleAttempts = 6;
-    /// Wait before the second attempt; doubles with each further one, with jitter.
-    std::chrono::milliseconds settleBackoff { 200 };
-    /// Finished transactions after which their operation rows are deleted.
-    std::size_t finishedOperations = 32;
+    /// Attempts to determine the outcome after a lost response, before Store reports OutcomeUnknown.
+    int maxOutcomeAttempts = 6;
+    /// Longest backoff before the second attempt. It doubles with each further attempt; the actual wait is
+    /// random between half of it and all of it.
+    std::chrono::milliseconds outcomeBackoff { 200 };
+    /// Number of operation rows of finished transactions at which the next commit first writes the fence row,
+    /// which deletes them.
+    std::size_t operationCleanupThreshold = 32;
 };
 
-/// Commits transactions so that each takes effect at most once and its outcome is known.
+/// Commits each transaction at most once and determines its outcome.
 ///
-/// Each transaction writes a row of its own, its operation row, under the condition that it is
-/// absent, and carries the condition that the fence row of this process is unchanged. When an
-/// answer is lost, the fence row is written: after that no copy of the transaction that is still
-/// under way can commit, however late it arrives, so that the operation row decides the outcome.
-/// Operation rows are deleted only in the transaction that changes the fence row, for the same reason.
+/// The store adds two conditions to each transaction. The operation row, a new row that the transaction
+/// itself writes, must not exist yet. The fence row of this process must still have the version that the
+/// store knows. When the response to a commit is lost, the store writes the fence row. From then on no copy
+/// of the transaction that is still in flight can commit, however late it arrives, so the operation row tells
+/// whether the transaction committed. For the same reason the store deletes operation rows only in a
+/// transaction that changes the fence row: a late copy could otherwise commit a second time.
 class Store {
 public:
+    /// \p node is the name of this node and \p seed a number that differs between its processes; the keys of
+    /// the fence row and the operation rows are made from both.
     Store(event_base* base, Platform& platform, const Clock& clock, Metrics& metrics, std::string node,
         std::uint64_t seed, StoreLimits limits = {});
 
-    /// Commits \p transaction. OutcomeUnknown is reported only when the table stays unreachable
-    /// for as long as the outcome is being found out.
+    /// Commits \p transaction and passes the version of the commit to \p callback. The callback gets
+    /// OutcomeUnknown only if the table stays unreachable through all attempts to determine the outcome; with
+    /// any other error the transaction has not committed and never will.
     void commit(Transaction transaction, PlatformCallback<TableVersion> callback);
 
+    /// The platform whose table the store writes.
     Platform& platform() { return m_platform; }
 
 private:
@@ -52,15 +61,15 @@
     using FenceCallback = std::function<void(PlatformResult<TableVersion>)>;
     void send(const OperationPointer& operation);
     void finish(const OperationPointer& operation, PlatformResult<TableVersion> result);
-    void settle(const OperationPointer& operation);
+    void resolveOutcome(const OperationPointer& operation);
     void readOutcome(const OperationPointer& operation);
-    void retrySettle(const OperationPointer& operation);
-    void settleAll();
-    void refence(const OperationPointer& operation);
-    void moveFence(FenceCallback callback);
+    void scheduleOutcomeRetry(const OperationPointer& operation);
+    void resolvePendingOutcomes();
+    void sendAfterFenceWrite(const OperationPointer& operation);
+    void advanceFence(FenceCallback callback);
     void writeFence();
     void readFence();
-    void fenceMoved(PlatformResult<TableVersion> result);
+    void completeFenceWrite(PlatformResult<TableVersion> result);
 
     Platform& m_platform;
     const Clock& m_clock;
@@ -70,73 +79,78 @@
     StoreLimits m_limits;
     std::uint64_t m_nextOperation = 1;
     std::string m_fenceKey;
-    /// Version of the fence row as last known; 0: it has not been written.
-    TableVersion m_fence = 0;
-    /// Waiting for the fence row to be written.
+    /// Last known version of the fence row; 0 before its first write.
+    TableVersion m_fenceVersion = 0;
+    /// Called when the fence write in flight ends.
     std::vector<FenceCallback> m_fenceWaiters;
-    /// Operation rows of finished transactions.
+    /// Keys of the operation rows of finished transactions, which the next fence writes delete.
     std::vector<std::string> m_finishedOperations;
-    /// Operation rows that the write of the fence row under way deletes.
-    std::size_t m_deleting = 0;
-    /// Waiting for the next attempt at finding out their outcome.
-    std::vector<OperationPointer> m_unsettled;
-    Timer m_settleTimer;
+    /// Number of m_finishedOperations, from the front, that the fence write in flight deletes.
+    std::size_t m_deletionsInFenceWrite = 0;
+    /// Operations that wait for the next attempt to determine their outcome.
+    std::vector<OperationPointer> m_unresolved;
+    Timer m_outcomeTimer;
 };
 
-/// Rows with their version: all rows, or those that changed after an earlier version.
+/// State of the rows at one table version: either every row, or the rows that changed since an earlier
+/// version.
 struct RowSet {
-    TableVersion since = 0; ///< 0: the set holds every row; else the rows changed after this version
-    TableVersion version = 0; ///< newest version covered
-    std::vector<Row> rows; ///< in order of version, deletions included
+    TableVersion since = 0; ///< 0: every row; otherwise the rows that changed after this version
+    TableVersion version = 0; ///< table version that the set brings a copy up to
+    std::vector<Row> rows; ///< in ascending order of version, deletions included
 };
 
 /// Settings of Mirror.
 struct MirrorSettings {
-    std::string prefix; ///< of the rows that are copied
-    std::chrono::milliseconds period { 1000 }; ///< between polls
-    std::string cluster; ///< snapshots of another cluster are refused
-    std::string snapshotObject; ///< name of the object that holds the snapshot; empty: none
+    std::string prefix; ///< key prefix of the mirrored rows
+    std::chrono::milliseconds pollPeriod { 1000 }; ///< longest wait between polls while polls succeed
+    std::string cluster; ///< name of this cluster; the mirror refuses snapshots of another one
+    std::string snapshotObjectName; ///< name of the snapshot object; empty: none is read
 };
 
-/// Copy of the rows under one prefix, kept by polling the table's changes. Until it has the rows it
-/// also looks at the snapshot in the object store, and takes rows from peers. It never goes back
-/// to an older version, whatever the source.
+/// Local copy of the rows under one key prefix. The mirror polls the table for changes. At the start it first
+/// reads the snapshot in the object store, and it can also apply rows from peers. Its version never
+/// decreases, whatever the source.
 class Mirror {
 public:
-    /// Called for each change in commit order.
+    /// Called for each changed row, in commit order; the changes found by a full read come in any order.
     using Listener = std::function<void(const Row&)>;
 
+    /// \p seed starts the random jitter of the polls.
     Mirror(event_base* base, Platform& platform, const Clock& clock, Metrics& metrics,
         MirrorSettings settings, std::uint64_t seed);
 
     /// Starts polling.
     void start();
-    /// Polls at once, for example after a hint from a peer or an own write.
+    /// Polls now, for example after a hint from a peer or a write by this node. If a poll is in flight,
+    /// another one follows it.
     void pollNow();
-    /// Adds a listener for changes from now on.
+    /// Adds a listener for later changes; it does not get the rows that are already present.
     void addListener(Listener listener);
-    /// Rows present, by key.
+    /// The present rows by key, without the deleted ones.
     const std::map<std::string, Row, std::less<>>& rows() const { return m_rows; }
-    /// The row, or nullptr.
+    /// Returns the row, or nullptr if it does not exist.
     const Row* find(std::string_view key) const;
-    /// Newest table version covered.
+    /// Table version that the copy corresponds to.
     TableVersion version() const { return m_version; }
-    /// Whether all rows are known, from whatever source.
-    bool isComplete() const { return m_complete; }
-    /// Whether the last poll failed or none has succeeded yet.
-    bool isCutOff() const { return m_failures > 0 || m_lastContact == TimePoint {}; }
+    /// Whether the mirror has loaded all rows, from the table, a snapshot or a peer.
+    bool isComplete() const { return m_isComplete; }
+    /// Whether the last poll of the table failed or none has succeeded yet.
+    bool isCutOff() const { return m_consecutiveFailures > 0 || m_lastContact == TimePoint {}; }
     /// Time of the last successful poll.
     TimePoint lastContact() const { return m_lastContact; }
-    /// Start of the last poll that has ended, well or not.
+    /// Start time of the last poll that has ended, whether it succeeded or failed.
     TimePoint lastEndedPollStart() const { return m_lastEndedPollStart; }
-    /// The rows changed after \p since, or all rows where the deletions since then are not known.
+    /// Returns the rows that changed after \p since, or all rows if the mirror no longer has every deletion
+    /// since then.
     RowSet rowsSince(TableVersion since) const;
-    /// Takes over rows from a peer or a snapshot if they continue or replace the present ones and
-    /// are newer; returns whether they were taken.
+    /// Applies rows from a peer or a snapshot and returns true. Returns false, and changes nothing, if the
+    /// set is not newer than this copy, or if it holds only changes and leaves a gap after this copy's
+    /// version.
     bool take(const RowSet& set);
 
 private:
-    void schedule();
+    void scheduleNextPoll();
     void poll();
     void readSnapshot();
     void readTable();
@@ -144,30 +158,30 @@
     void apply(TableVersion version, const std::vector<Row>& rows);
     void applyRow(const Row& row);
     void replaceAll(TableVersion version, std::vector<Row> rows);
-    void rememberDeletion(const Row& row);
-    void finishPoll(bool ok);
+    void recordDeletion(const Row& row);
+    void finishPoll(bool succeeded);
 
     Platform& m_platform;
     const Clock& m_clock;
     Metrics& m_metrics;
     MirrorSettings m_settings;
     std::mt19937_64 m_random;
-    Timer m_timer;
+    Timer m_pollTimer;
     std::map<std::string, Row, std::less<>> m_rows;
     std::vector<Listener> m_listeners;
-    /// Newest deletions, in order of version.
+    /// The latest deletions in order of version, for rowsSince().
     std::deque<Row> m_deletions;
-    /// Deletions up to this version may be missing from m_deletions.
-    TableVersion m_deletionsKnownSince = 0;
+    /// m_deletions holds every deletion after this version; earlier ones may be missing.
+    TableVersion m_deletionsCompleteSince = 0;
     TableVersion m_version = 0;
     TimePoint m_lastContact {};
     TimePoint m_pollStart {};
     TimePoint m_lastEndedPollStart {};
-    int m_failures = 0;
-    bool m_complete = false;
-    bool m_snapshotTried = false;
-    bool m_polling = false;
-    bool m_pollAgain = false;
+    int m_consecutiveFailures = 0;
+    bool m_isComplete = false;
+    bool m_hasTriedSnapshot = false;
+    bool m_isPolling = false;
+    bool m_shouldPollAgain = false;
 };
 
 } // namespace damask
--- a/src/libresource/catalogue.cpp
+++ b/src/libresource/catalogue.cpp
@@ -3,21 +3,23 @@
 namespace damask {
 namespace {
 
-std::string textOf(const nlohmann::json& object, std::string_view member)
+/// The string in a member of a JSON object; empty if it is missing or not a string.
+std::string stringMember(const nlohmann::json& object, std::string_view member)
 {
     const auto it = object.find(member);
     return it != object.end() && it->is_string() ? it->get<std::string>() : std::string();
 }
 
-/// The pool that the resource belongs to; empty if it belongs to none.
+/// The pool that the resource belongs to; empty if there is none. For a VM the status takes precedence over
+/// the spec, because it names the pool that the VM is in now.
 std::string poolOf(const Resource& resource)
 {
     if (resource.kind == Kind::Vm) {
-        auto present = textOf(resource.status, "pool");
-        if (!present.empty())
-            return present;
+        auto currentPool = stringMember(resource.status, "pool");
+        if (!currentPool.empty())
+            return currentPool;
     }
-    return textOf(resource.spec, "pool");
+    return stringMember(resource.spec, "pool");
 }
 
 } // namespace
@@ -40,22 +42,22 @@
         entry.hasSpec = !row.deleted && resource::readSpecRow(row.value, entry.resource);
         entry.resource.version = row.deleted ? 0 : row.version;
     }
-    unindex(key, entry);
+    removeFromIndex(key, entry);
     if (!entry.hasSpec && entry.statusVersion == 0)
         m_entries.erase(key);
     else
-        index(key, entry);
+        addToIndex(key, entry);
     return key;
 }
 
-void Catalogue::index(const Key& key, Entry& entry)
+void Catalogue::addToIndex(const Key& key, Entry& entry)
 {
     entry.pool = poolOf(entry.resource);
     if (!entry.pool.empty())
         m_byPool[Key { key.first, entry.pool }].insert(key.second);
 }
 
-void Catalogue::unindex(const Key& key, const Entry& entry)
+void Catalogue::removeFromIndex(const Key& key, const Entry& entry)
 {
     const auto found = m_byPool.find(Key { key.first, entry.pool });
     if (found == m_byPool.end())
--- a/src/libresource/resource_test.cpp
+++ b/src/libresource/resource_test.cpp
@@ -27,7 +27,7 @@
     BOOST_TEST(spec["slotsPerVm"] == 8);
 }
 
-BOOST_AUTO_TEST_CASE(everyWrongFieldIsNamed)
+BOOST_AUTO_TEST_CASE(everyInvalidFieldIsReported)
 {
     json spec = { { "pool", "Bad Name" }, { "cpu", -1 }, { "memoryMb", "big" }, { "colour", "red" } };
     auto errors = resource::validate(Kind::Job, "j", spec);
@@ -38,8 +38,9 @@
     BOOST_TEST(errors[0].field == "spec.routes[0].prefix");
 }
 
-/// The index by pool gives what a scan over all resources gives, whatever rows come and go.
-RC_BOOST_PROP(indexByPoolAgreesWithAScan, ())
+/// After any sequence of row changes and deletions, the index by pool must give the same VMs as a scan of all
+/// VMs.
+RC_BOOST_PROP(poolIndexMatchesFullScan, ())
 {
     Catalogue catalogue;
     TableVersion version = 0;
--- a/src/libresource/validate.cpp
+++ b/src/libresource/validate.cpp
@@ -14,16 +14,17 @@
 
 enum class FieldType { Name, Text, Address, Integer, Number, Boolean, Priority, FailureDomain, List, Object };
 
-/// One field of a spec: its type, the range of numbers, and its default (null: required).
+/// Validation rule for one field of a spec.
 struct FieldRule {
     std::string_view name;
     FieldType type;
-    double minimum = 0;
+    double minimum = 0; ///< of a number, or of the length of a text in bytes
     double maximum = 0;
-    json fallback = nullptr;
-    bool optional = false; ///< may be absent without a default
+    json defaultValue = nullptr; ///< null: the field is required, unless it is optional
+    bool isOptional = false; ///< the field may be missing and has no default
 };
 
+/// Rules for the members of a spec.
 const std::vector<FieldRule>& rulesFor(Kind kind)
 {
     static const std::vector<FieldRule> poolRules {
@@ -95,6 +96,7 @@
     return poolRules;
 }
 
+/// Rules for an element of `spec.routes` of a configuration.
 const std::vector<FieldRule>& routeRules()
 {
     static const std::vector<FieldRule> rules {
@@ -152,51 +154,52 @@
     return value.is_string() && isName(value.get_ref<const std::string&>());
 }
 
-constexpr std::string_view allowedName = "1 to 63 of a-z, 0-9 and '-', not starting with '-'";
+constexpr std::string_view nameDescription = "1 to 63 characters of a-z, 0-9 and '-', not starting with '-'";
 
-std::string range(const FieldRule& rule, std::string_view what)
+std::string describeRange(const FieldRule& rule, std::string_view noun)
 {
     const json low = rule.minimum;
     const json high = rule.maximum;
-    return std::string(what) + " from " + low.dump() + " to " + high.dump();
+    return std::string(noun) + " from " + low.dump() + " to " + high.dump();
 }
 
-bool inRange(const FieldRule& rule, const json& value)
+bool isInRange(const FieldRule& rule, const json& value)
 {
     const double number = value.get<double>();
     return number >= rule.minimum && number <= rule.maximum;
 }
 
-/// What is allowed, if \p value breaks \p rule.
-std::optional<std::string> violation(const FieldRule& rule, const json& value)
+/// Describes the allowed values if \p value violates \p rule; nothing if the value is valid.
+std::optional<std::string> describeViolation(const FieldRule& rule, const json& value)
 {
     switch (rule.type) {
     case FieldType::Name:
-        return isNameValue(value) ? std::nullopt : std::optional<std::string>(allowedName);
+        return isNameValue(value) ? std::nullopt : std::optional<std::string>(nameDescription);
     case FieldType::Text:
         if (value.is_string() && value.get_ref<const std::string&>().size() <= rule.maximum
             && value.get_ref<const std::string&>().size() >= rule.minimum)
             return std::nullopt;
-        return "a string, length" + range(rule, "");
+        return describeRange(rule, "a string of length");
     case FieldType::Address:
         if (value.is_string() && http::parseAddress(value.get_ref<const std::string&>()))
             return std::nullopt;
         return "ip:port";
     case FieldType::Integer:
-        return value.is_number_integer() && inRange(rule, value) ? std::nullopt
-                                                                 : std::optional(range(rule, "an integer"));
+        return value.is_number_integer() && isInRange(rule, value)
+            ? std::nullopt
+            : std::optional(describeRange(rule, "an integer"));
     case FieldType::Number:
-        return value.is_number() && inRange(rule, value) ? std::nullopt
-                                                         : std::optional(range(rule, "a number"));
+        return value.is_number() && isInRange(rule, value) ? std::nullopt
+                                                           : std::optional(describeRange(rule, "a number"));
     case FieldType::Boolean:
         return value.is_boolean() ? std::nullopt : std::optional<std::string>("true or false");
     case FieldType::Priority:
         if (value == "urgent" || value == "normal" || value == "low")
             return std::nullopt;
-        return "urgent, normal, low";
+        return "urgent, normal or low";
     case FieldType::FailureDomain:
         return value == "rack" || value == "dataCentre" ? std::nullopt
-                                                        : std::optional<std::string>("rack, dataCentre");
+                                                        : std::optional<std::string>("rack or dataCentre");
     case FieldType::List:
         return value.is_array() ? std::nullopt : std::optional<std::string>("a list");
     case FieldType::Object:
@@ -214,7 +217,7 @@
     return false;
 }
 
-std::string fieldNames(const std::vector<FieldRule>& rules)
+std::string joinFieldNames(const std::vector<FieldRule>& rules)
 {
     std::string out;
     for (const auto& rule : rules)
@@ -222,7 +225,8 @@
     return out;
 }
 
-void checkFields(const std::vector<FieldRule>& rules, const std::string& path, json& object,
+/// Validates the members of \p object, adds defaults and appends an error for each invalid or unknown member.
+void validateFields(const std::vector<FieldRule>& rules, const std::string& path, json& object,
     std::vector<FieldError>& errors)
 {
     if (!object.is_object()) {
@@ -231,32 +235,32 @@
     }
     for (const auto& [name, value] : object.items()) {
         if (!isKnownField(rules, name))
-            errors.push_back({ path + "." + name, value.dump(), "one of " + fieldNames(rules) });
+            errors.push_back({ path + "." + name, value.dump(), "one of " + joinFieldNames(rules) });
     }
     for (const auto& rule : rules) {
         const std::string field = path + "." + std::string(rule.name);
         auto it = object.find(rule.name);
         if (it == object.end()) {
-            if (rule.optional)
+            if (rule.isOptional)
                 continue;
-            if (rule.fallback.is_null())
-                errors.push_back({ field, "", "a value: the field is required" });
+            if (rule.defaultValue.is_null())
+                errors.push_back({ field, "", "a value (the field is required)" });
             else
-                object[std::string(rule.name)] = rule.fallback;
+                object[std::string(rule.name)] = rule.defaultValue;
             continue;
         }
-        if (auto allowed = violation(rule, *it))
+        if (auto allowed = describeViolation(rule, *it))
             errors.push_back({ field, it->dump(), *allowed });
     }
 }
 
-void checkPolicy(json& policy, std::vector<FieldError>& errors)
+void validatePolicy(json& policy, std::vector<FieldError>& errors)
 {
-    checkFields(policyRules(), "spec.policy", policy, errors);
+    validateFields(policyRules(), "spec.policy", policy, errors);
     if (policy.contains("move"))
-        checkFields(movePolicyRules(), "spec.policy.move", policy["move"], errors);
+        validateFields(movePolicyRules(), "spec.policy.move", policy["move"], errors);
     if (policy.contains("maintenance"))
-        checkFields(maintenancePolicyRules(), "spec.policy.maintenance", policy["maintenance"], errors);
+        validateFields(maintenancePolicyRules(), "spec.policy.maintenance", policy["maintenance"], errors);
 }
 
 } // namespace
@@ -265,20 +269,20 @@
 {
     std::vector<FieldError> errors;
     if (!isName(name))
-        errors.push_back({ "name", std::string(name), std::string(allowedName) });
+        errors.push_back({ "name", std::string(name), std::string(nameDescription) });
     if (kind == Kind::Configuration && name != currentConfiguration)
         errors.push_back({ "name", std::string(name), std::string(currentConfiguration) });
-    checkFields(rulesFor(kind), "spec", spec, errors);
+    validateFields(rulesFor(kind), "spec", spec, errors);
     if (kind == Kind::Configuration && spec.is_object() && spec.contains("policy")
         && spec["policy"].is_object())
-        checkPolicy(spec["policy"], errors);
+        validatePolicy(spec["policy"], errors);
     if (kind != Kind::Configuration || !spec.is_object() || !spec.contains("routes")
         || !spec["routes"].is_array())
         return errors;
     std::size_t index = 0;
     for (auto& route : spec["routes"]) {
         const std::string path = "spec.routes[" + std::to_string(index++) + "]";
-        checkFields(routeRules(), path, route, errors);
+        validateFields(routeRules(), path, route, errors);
         if (route.is_object() && route.contains("prefix") && route["prefix"].is_string()
             && !route["prefix"].get_ref<const std::string&>().starts_with("/"))
             errors.push_back({ path + ".prefix", route["prefix"].dump(), "a path starting with '/'" });
--- a/src/libstore/mirror.cpp
+++ b/src/libstore/mirror.cpp
@@ -10,10 +10,10 @@
 namespace damask {
 namespace {
 
-/// Longest wait between polls while the table is unreachable, as a multiple of the period.
+/// Upper bound of the backoff between polls while the table is unreachable, as a multiple of the poll period.
 constexpr int maxBackoffFactor = 8;
-/// Deletions kept for peers that ask for changes.
-constexpr std::size_t maxDeletions = 4096;
+/// Number of deletions kept for rowsSince(); a peer that is further behind gets all rows.
+constexpr std::size_t maxKeptDeletions = 4096;
 
 } // namespace
 
@@ -24,7 +24,7 @@
     , m_metrics(metrics)
     , m_settings(std::move(settings))
     , m_random(seed)
-    , m_timer(base, [this] { poll(); })
+    , m_pollTimer(base, [this] { poll(); })
 {
 }
 
@@ -32,8 +32,8 @@
 
 void Mirror::pollNow()
 {
-    if (m_polling) {
-        m_pollAgain = true;
+    if (m_isPolling) {
+        m_shouldPollAgain = true;
         return;
     }
     poll();
@@ -49,7 +49,7 @@
 
 RowSet Mirror::rowsSince(TableVersion since) const
 {
-    RowSet out { since >= m_deletionsKnownSince ? since : 0, m_version, {} };
+    RowSet out { since >= m_deletionsCompleteSince ? since : 0, m_version, {} };
     for (const auto& [key, row] : m_rows) {
         if (row.version > out.since)
             out.rows.push_back(row);
@@ -65,7 +65,7 @@
 
 bool Mirror::take(const RowSet& set)
 {
-    if (set.version <= m_version || (set.since > 0 && (!m_complete || set.since > m_version)))
+    if (set.version <= m_version || (set.since > 0 && (!m_isComplete || set.since > m_version)))
         return false;
     if (set.since == 0)
         replaceAll(set.version, set.rows);
@@ -74,40 +74,41 @@
     return true;
 }
 
-void Mirror::schedule()
+void Mirror::scheduleNextPoll()
 {
-    // Jitter spreads the nodes' polls, above all when the table comes back after an outage.
-    const auto factor = std::min(1 << std::min(m_failures, 3), maxBackoffFactor);
-    const auto longest = m_settings.period.count() * factor;
+    // The jitter spreads the polls of the nodes, so that they do not all poll at once when the table recovers
+    // from an outage.
+    const auto factor = std::min(1 << std::min(m_consecutiveFailures, 3), maxBackoffFactor);
+    const auto longest = m_settings.pollPeriod.count() * factor;
     std::uniform_int_distribution<std::int64_t> jitter(longest / 2, longest);
-    m_timer.startOnce(std::chrono::milliseconds(jitter(m_random)));
+    m_pollTimer.startOnce(std::chrono::milliseconds(jitter(m_random)));
 }
 
 void Mirror::poll()
 {
-    if (m_polling)
+    if (m_isPolling)
         return;
-    m_polling = true;
+    m_isPolling = true;
     m_pollStart = m_clock.now();
-    m_timer.stop();
-    if (!m_complete && !m_snapshotTried && !m_settings.snapshotObject.empty())
+    m_pollTimer.stop();
+    if (!m_isComplete && !m_hasTriedSnapshot && !m_settings.snapshotObjectName.empty())
         return readSnapshot();
     readTable();
 }
 
-/// Starts from the snapshot in the object store, which spares the table a read of all rows.
+/// Loads the snapshot from the object store, which saves a full read of the table, and then reads the table.
 void Mirror::readSnapshot()
 {
-    m_platform.readObject(m_settings.snapshotObject, [this](PlatformResult<std::string> text) {
-        m_snapshotTried = text || text.error().failure == PlatformFailure::NotFound;
+    m_platform.readObject(m_settings.snapshotObjectName, [this](PlatformResult<std::string> text) {
+        m_hasTriedSnapshot = text || text.error().failure == PlatformFailure::NotFound;
         if (text) {
             const auto set = snapshot::decode(*text, m_settings.cluster);
-            const bool taken = set && take(*set);
-            m_metrics.count(taken ? "damask_snapshot_reads_total{result=\"taken\"}"
-                                  : "damask_snapshot_reads_total{result=\"refused\"}");
+            const bool isApplied = set && take(*set);
+            m_metrics.count(isApplied ? "damask_snapshot_reads_total{result=\"taken\"}"
+                                      : "damask_snapshot_reads_total{result=\"refused\"}");
             if (!set)
                 logEvent(LogLevel::Warning, "snapshot_refused",
-                    { { "reason", std::string(nameOf(snapshot::faultNames, set.error().fault)) } });
+                    { { "reason", std::string(nameOf(snapshot::decodeFailureNames, set.error().failure)) } });
         }
         readTable();
     });
@@ -115,7 +116,7 @@
 
 void Mirror::readTable()
 {
-    if (!m_complete)
+    if (!m_isComplete)
         return readAll();
     m_platform.readChanges(m_settings.prefix, m_version, [this](PlatformResult<Changes> result) {
         if (result) {
@@ -145,11 +146,11 @@
 {
     if (version < m_version)
         return;
-    // Rows up to this version are known, deleted ones included.
-    const auto covered = m_version;
+    // The copy already reflects every change up to this version, deletions included.
+    const auto previousVersion = m_version;
     m_version = version;
     for (const auto& row : rows) {
-        if (row.version > covered)
+        if (row.version > previousVersion)
             applyRow(row);
     }
 }
@@ -161,7 +162,7 @@
         return;
     if (row.deleted) {
         m_rows.erase(row.key);
-        rememberDeletion(row);
+        recordDeletion(row);
     } else {
         m_rows.insert_or_assign(row.key, row);
     }
@@ -173,46 +174,47 @@
 {
     if (version < m_version)
         return;
-    std::set<std::string, std::less<>> kept;
+    std::set<std::string, std::less<>> presentKeys;
     for (const auto& row : rows)
-        kept.insert(row.key);
+        presentKeys.insert(row.key);
     for (const auto& [key, row] : m_rows) {
-        if (!kept.contains(key))
+        if (!presentKeys.contains(key))
             rows.push_back({ key, version, "", true });
     }
     m_version = version;
     for (const auto& row : rows)
         applyRow(row);
-    // When the rows that are gone were deleted is not known.
+    // The versions at which the missing rows were deleted are unknown, so rowsSince() can't report changes
+    // from before this version.
     m_deletions.clear();
-    m_deletionsKnownSince = version;
-    m_complete = true;
+    m_deletionsCompleteSince = version;
+    m_isComplete = true;
 }
 
-void Mirror::rememberDeletion(const Row& row)
+void Mirror::recordDeletion(const Row& row)
 {
     m_deletions.push_back({ row.key, row.version, "", true });
-    if (m_deletions.size() <= maxDeletions)
+    if (m_deletions.size() <= maxKeptDeletions)
         return;
-    m_deletionsKnownSince = m_deletions.front().version;
+    m_deletionsCompleteSince = m_deletions.front().version;
     m_deletions.pop_front();
 }
 
-void Mirror::finishPoll(bool ok)
+void Mirror::finishPoll(bool succeeded)
 {
-    m_polling = false;
+    m_isPolling = false;
     m_lastEndedPollStart = m_pollStart;
-    m_failures = ok ? 0 : m_failures + 1;
-    m_metrics.count(
-        ok ? "damask_table_polls_total{result=\"ok\"}" : "damask_table_polls_total{result=\"failed\"}");
-    if (ok)
+    m_consecutiveFailures = succeeded ? 0 : m_consecutiveFailures + 1;
+    m_metrics.count(succeeded ? "damask_table_polls_total{result=\"ok\"}"
+                              : "damask_table_polls_total{result=\"failed\"}");
+    if (succeeded)
         m_lastContact = m_clock.now();
-    if (m_pollAgain) {
-        m_pollAgain = false;
+    if (m_shouldPollAgain) {
+        m_shouldPollAgain = false;
         poll();
         return;
     }
-    schedule();
+    scheduleNextPoll();
 }
 
 } // namespace damask
--- a/src/libstore/mirror_test.cpp
+++ b/src/libstore/mirror_test.cpp
@@ -11,9 +11,10 @@
 
 namespace {
 
-/// A mirror over a platform that may be shared.
-struct Copy {
-    explicit Copy(FakePlatform& platform, std::string snapshotObject = {})
+/// A mirror and what it needs, over a platform that several of them may share. The poll period of 1 h leaves
+/// polls to the tests.
+struct MirrorFixture {
+    explicit MirrorFixture(FakePlatform& platform, std::string snapshotObject = {})
         : platform(platform)
         , mirror(loop.base(), platform, clock, metrics, { "f/", 1h, "c", std::move(snapshotObject) }, 1)
     {
@@ -46,7 +47,7 @@
     (void)platform.table.commit({ {}, { { key, std::move(value) } } });
 }
 
-std::map<std::string, std::string> contents(const std::map<std::string, Row, std::less<>>& rows)
+std::map<std::string, std::string> valuesByKey(const std::map<std::string, Row, std::less<>>& rows)
 {
     std::map<std::string, std::string> out;
     for (const auto& [key, row] : rows)
@@ -54,7 +55,7 @@
     return out;
 }
 
-std::map<std::string, std::string> contents(const FakePlatform& platform)
+std::map<std::string, std::string> valuesByKey(const FakePlatform& platform)
 {
     std::map<std::string, std::string> out;
     for (const auto& row : platform.table.rows("f/").rows)
@@ -62,15 +63,16 @@
     return out;
 }
 
-struct Snapshots {
-    Snapshots()
+/// A platform with two rows and a snapshot of them, and the text of that snapshot.
+struct SnapshotFixture {
+    SnapshotFixture()
     {
         put(platform, "f/a", "1");
         put(platform, "f/b", "2");
-        Copy writer(platform);
+        MirrorFixture writer(platform);
         writer.start();
-        SnapshotWriter snapshots(platform, writer.mirror, writer.clock, writer.metrics, "c", 1min);
-        snapshots.consider(true);
+        SnapshotWriter snapshotWriter(platform, writer.mirror, writer.clock, writer.metrics, "c", 1min);
+        snapshotWriter.consider(true);
         writer.answerAll();
         text = platform.objects.at("snapshot");
         platform.fullReads = 0;
@@ -81,21 +83,23 @@
 
 } // namespace
 
-RC_BOOST_PROP(mirrorNeverGoesBackAndEndsEqualToTheTable, (const std::vector<std::uint8_t>& steps))
+/// Applies polls, peer rows and outdated row sets in any order: the mirror's version must not decrease, no
+/// row may be reported at an old version, and after a poll the mirror must equal the table.
+RC_BOOST_PROP(mirrorVersionNeverDecreasesAndConvergesToTable, (const std::vector<std::uint8_t>& steps))
 {
     FakePlatform platform;
-    Copy ahead(platform);
-    Copy behind(platform);
-    Copy lagging(platform);
+    MirrorFixture ahead(platform);
+    MirrorFixture behind(platform);
+    MirrorFixture lagging(platform);
     put(platform, "f/0", "0");
     ahead.start();
     behind.start();
     lagging.start();
-    std::vector<RowSet> stale;
-    std::map<std::string, TableVersion> applied;
+    std::vector<RowSet> earlierSets;
+    std::map<std::string, TableVersion> reportedVersions;
     behind.mirror.addListener([&](const Row& row) {
-        RC_ASSERT(row.version > applied[row.key]);
-        applied[row.key] = row.version;
+        RC_ASSERT(row.version > reportedVersions[row.key]);
+        reportedVersions[row.key] = row.version;
     });
     for (const auto step : steps) {
         const auto key = "f/" + std::to_string(step / 8U % 4U);
@@ -110,7 +114,7 @@
             break;
         case 3:
             ahead.poll();
-            stale.push_back(ahead.mirror.rowsSince(step / 8U));
+            earlierSets.push_back(ahead.mirror.rowsSince(step / 8U));
             break;
         case 4:
             behind.mirror.take(ahead.mirror.rowsSince(behind.mirror.version()));
@@ -119,8 +123,8 @@
             behind.mirror.take(lagging.mirror.rowsSince(0));
             break;
         case 6:
-            if (!stale.empty())
-                behind.mirror.take(stale[step % stale.size()]);
+            if (!earlierSets.empty())
+                behind.mirror.take(earlierSets[step % earlierSets.size()]);
             break;
         default:
             behind.poll();
@@ -128,90 +132,90 @@
         RC_ASSERT(behind.mirror.version() >= before);
     }
     behind.poll();
-    RC_ASSERT(contents(behind.mirror.rows()) == contents(platform));
+    RC_ASSERT(valuesByKey(behind.mirror.rows()) == valuesByKey(platform));
 }
 
-BOOST_AUTO_TEST_CASE(rowsOfALaggingPeerAreRefused)
+BOOST_AUTO_TEST_CASE(olderRowsOfPeerAreRefused)
 {
     FakePlatform platform;
     put(platform, "f/a", "old");
-    Copy lagging(platform);
+    MirrorFixture lagging(platform);
     lagging.start();
     put(platform, "f/a", "new");
-    Copy mirror(platform);
-    mirror.start();
-    BOOST_TEST(!mirror.mirror.take(lagging.mirror.rowsSince(0)));
-    BOOST_TEST(mirror.mirror.find("f/a")->value == "new");
+    MirrorFixture fixture(platform);
+    fixture.start();
+    BOOST_TEST(!fixture.mirror.take(lagging.mirror.rowsSince(0)));
+    BOOST_TEST(fixture.mirror.find("f/a")->value == "new");
 }
 
-BOOST_AUTO_TEST_CASE(changesThatLeaveAGapAreRefused)
+BOOST_AUTO_TEST_CASE(changesWithGapAreRefused)
 {
     FakePlatform platform;
-    Copy mirror(platform);
-    mirror.start();
-    BOOST_TEST(!mirror.mirror.take({ 5, 6, { { "f/a", 6, "x" } } }));
+    MirrorFixture fixture(platform);
+    fixture.start();
+    BOOST_TEST(!fixture.mirror.take({ 5, 6, { { "f/a", 6, "x" } } }));
 }
 
-BOOST_FIXTURE_TEST_CASE(startFromASnapshotReadsNoFullTable, Snapshots)
+BOOST_FIXTURE_TEST_CASE(startFromSnapshotAvoidsFullTableRead, SnapshotFixture)
 {
     put(platform, "f/a", std::nullopt);
     put(platform, "f/c", "3");
-    Copy mirror(platform, "snapshot");
-    mirror.start();
+    MirrorFixture fixture(platform, "snapshot");
+    fixture.start();
     BOOST_TEST(platform.fullReads == 0u);
-    BOOST_TEST((contents(mirror.mirror.rows()) == contents(platform)));
+    BOOST_TEST((valuesByKey(fixture.mirror.rows()) == valuesByKey(platform)));
 }
 
-BOOST_FIXTURE_TEST_CASE(snapshotIsWrittenAtABoundedRateByTheChosenNodeOnly, Snapshots)
+BOOST_FIXTURE_TEST_CASE(onlyTheSnapshotWriterWritesAndAtALimitedRate, SnapshotFixture)
 {
-    Copy writer(platform);
+    MirrorFixture writer(platform);
     writer.start();
     platform.objectWrites = 0;
-    SnapshotWriter snapshots(platform, writer.mirror, writer.clock, writer.metrics, "c", 1min);
+    SnapshotWriter snapshotWriter(platform, writer.mirror, writer.clock, writer.metrics, "c", 1min);
     for (int second = 0; second < 600; ++second) {
         put(platform, "f/x", std::to_string(second));
         writer.poll();
-        snapshots.consider(second < 300);
+        snapshotWriter.consider(second < 300);
         writer.answerAll();
         writer.clock.advance(1s);
     }
     BOOST_TEST(platform.objectWrites == 5u);
 }
 
-BOOST_FIXTURE_TEST_CASE(tornSnapshotIsRefusedAtEveryLengthAndWithEveryByteChanged, Snapshots)
+BOOST_FIXTURE_TEST_CASE(snapshotTruncatedOrChangedAtAnyByteIsRefused, SnapshotFixture)
 {
     for (std::size_t length = 0; length < text.size(); ++length)
         BOOST_TEST(!snapshot::decode(text.substr(0, length), "c"));
-    const auto whole = snapshot::decode(text, "c");
-    BOOST_REQUIRE(whole);
-    for (std::size_t at = 0; at < text.size(); ++at) {
+    const auto intact = snapshot::decode(text, "c");
+    BOOST_REQUIRE(intact);
+    for (std::size_t position = 0; position < text.size(); ++position) {
         auto changed = text;
-        changed[at] = changed[at] == '7' ? '8' : '7';
-        BOOST_TEST(!snapshot::decode(changed, "c"), "byte " << at);
+        changed[position] = changed[position] == '7' ? '8' : '7';
+        BOOST_TEST(!snapshot::decode(changed, "c"), "byte " << position);
     }
 }
 
-BOOST_FIXTURE_TEST_CASE(snapshotOfAnotherClusterIsRefusedAndTheTableIsRead, Snapshots)
+BOOST_FIXTURE_TEST_CASE(snapshotOfAnotherClusterIsRefusedAndTableIsRead, SnapshotFixture)
 {
     const auto foreign = snapshot::decode(text, "other");
     BOOST_REQUIRE(!foreign);
-    BOOST_TEST((foreign.error().fault == snapshot::Fault::ForeignCluster));
+    BOOST_TEST((foreign.error().failure == snapshot::DecodeFailure::ForeignCluster));
     platform.objects["snapshot"] = snapshot::encode({ 0, 99, { { "f/z", 99, "foreign" } } }, "other");
-    Copy mirror(platform, "snapshot");
-    mirror.start();
-    BOOST_TEST(mirror.metrics.counter("damask_snapshot_reads_total{result=\"refused\"}") == 1u);
-    BOOST_TEST((contents(mirror.mirror.rows()) == contents(platform)));
+    MirrorFixture fixture(platform, "snapshot");
+    fixture.start();
+    BOOST_TEST(fixture.metrics.counter("damask_snapshot_reads_total{result=\"refused\"}") == 1u);
+    BOOST_TEST((valuesByKey(fixture.mirror.rows()) == valuesByKey(platform)));
 }
 
-BOOST_FIXTURE_TEST_CASE(snapshotOlderThanTheKeptHistoryIsReplacedByTheTable, Snapshots)
+BOOST_FIXTURE_TEST_CASE(snapshotOlderThanKeptHistoryCausesFullTableRead, SnapshotFixture)
 {
     FakePlatform later;
     later.table = TableModel(2);
     for (int i = 0; i < 8; ++i)
         put(later, "f/" + std::to_string(i), "new");
     later.objects["snapshot"] = text;
-    Copy mirror(later, "snapshot");
-    mirror.start();
+    MirrorFixture fixture(later, "snapshot");
+    fixture.start();
     BOOST_TEST(later.fullReads == 1u);
-    BOOST_TEST((contents(mirror.mirror.rows()) == contents(later)));
+    BOOST_TEST((valuesByKey(fixture.mirror.rows()) == valuesByKey(later)));
 }
--- a/src/libstore/snapshot.cpp
+++ b/src/libstore/snapshot.cpp
@@ -11,7 +11,8 @@
 
 constexpr int formatVersion = 1;
 
-std::string hashOf(std::string_view cluster, TableVersion version, const std::string& rows)
+/// Decimal XXH3 hash of the cluster, the version and the JSON text of the rows.
+std::string computeHash(std::string_view cluster, TableVersion version, const std::string& rows)
 {
     const auto text = std::string(cluster) + "\n" + std::to_string(version) + "\n" + rows;
     return std::to_string(XXH3_64bits(text.data(), text.size()));
@@ -36,15 +37,15 @@
 
 tl::expected<RowSet, Error> read(const json& value, std::string_view cluster)
 {
-    const auto fail = [](Fault fault) { return tl::make_unexpected(Error { fault }); };
+    const auto fail = [](DecodeFailure failure) { return tl::make_unexpected(Error { failure }); };
     if (value.at("format").get<int>() != formatVersion)
-        return fail(Fault::UnknownFormat);
+        return fail(DecodeFailure::UnknownFormat);
     if (value.at("cluster").get<std::string>() != cluster)
-        return fail(Fault::ForeignCluster);
+        return fail(DecodeFailure::ForeignCluster);
     RowSet out;
     out.version = value.at("version").get<TableVersion>();
-    if (value.at("hash").get<std::string>() != hashOf(cluster, out.version, value.at("rows").dump()))
-        return fail(Fault::Torn);
+    if (value.at("hash").get<std::string>() != computeHash(cluster, out.version, value.at("rows").dump()))
+        return fail(DecodeFailure::HashMismatch);
     out.rows = toRows(value.at("rows"));
     return out;
 }
@@ -56,7 +57,7 @@
     const auto rows = toJson(set.rows);
     return json {
         { "format", formatVersion }, { "cluster", cluster }, { "version", set.version },
-        { "hash", hashOf(cluster, set.version, rows.dump()) }, { "rows", rows }
+        { "hash", computeHash(cluster, set.version, rows.dump()) }, { "rows", rows }
     }.dump();
 }
 
@@ -64,12 +65,12 @@
 {
     const auto value = json::parse(text, nullptr, false);
     if (!value.is_object())
-        return tl::make_unexpected(Error { Fault::Malformed });
+        return tl::make_unexpected(Error { DecodeFailure::Malformed });
     try {
         return read(value, cluster);
     } catch (const json::exception&) {
-        // A member is missing or of another type.
-        return tl::make_unexpected(Error { Fault::Malformed });
+        // A member is missing or has the wrong type.
+        return tl::make_unexpected(Error { DecodeFailure::Malformed });
     }
 }
 
@@ -86,20 +87,20 @@
 {
 }
 
-void SnapshotWriter::consider(bool isChosen)
+void SnapshotWriter::consider(bool isWriter)
 {
     const auto now = m_clock.now();
-    const bool due = m_lastTried == TimePoint {} || now - m_lastTried >= m_period;
-    if (!isChosen || !due || m_mirror.isCutOff() || m_mirror.version() <= m_written)
+    const bool isDue = m_lastAttempt == TimePoint {} || now - m_lastAttempt >= m_period;
+    if (!isWriter || !isDue || m_mirror.isCutOff() || m_mirror.version() <= m_writtenVersion)
         return;
-    m_lastTried = now;
+    m_lastAttempt = now;
     const auto version = m_mirror.version();
     m_platform.writeObject(std::string(snapshot::objectName),
         snapshot::encode(m_mirror.rowsSince(0), m_cluster), [this, version](PlatformResult<bool> result) {
             m_metrics.count(result ? "damask_snapshot_writes_total{result=\"ok\"}"
                                    : "damask_snapshot_writes_total{result=\"failed\"}");
             if (result)
-                m_written = version;
+                m_writtenVersion = version;
         });
 }
 
--- a/src/libstore/store.cpp
+++ b/src/libstore/store.cpp
@@ -5,10 +5,12 @@
 namespace damask {
 namespace {
 
-constexpr int maxFenceConflicts = 8;
-constexpr std::size_t maxDeletionsPerCommit = 64;
+constexpr int maxFenceConflictsPerOperation = 8;
+constexpr std::size_t maxDeletionsPerFenceWrite = 64;
+/// Key prefix of fence rows and operation rows.
 constexpr std::string_view operationPrefix = "o/";
 
+/// The error for a transaction that has not committed and never will.
 PlatformError notWritten(std::string detail)
 {
     return { PlatformFailure::Unavailable, std::move(detail), "", 0 };
@@ -17,11 +19,11 @@
 } // namespace
 
 struct Store::Operation {
-    Transaction transaction; ///< without the conditions and the write that the store adds
-    std::string key;
-    TableVersion fence = 0; ///< version of the fence row that the transaction was sent with
+    Transaction transaction; ///< as given, without the conditions and the write that send() adds
+    std::string key; ///< of the operation row
+    TableVersion fenceVersion = 0; ///< version of the fence row that the last send() required
     int fenceConflicts = 0;
-    int settleAttempts = 0;
+    int outcomeAttempts = 0;
     PlatformCallback<TableVersion> callback;
 };
 
@@ -33,9 +35,9 @@
     , m_node(std::move(node))
     , m_random(seed)
     , m_limits(limits)
-    // The random part keeps a restarted node from reusing an earlier process's rows.
+    // The random part keeps a restarted node from reusing the rows of its earlier process.
     , m_fenceKey(std::string(operationPrefix) + m_node + "/" + std::to_string(m_random()))
-    , m_settleTimer(base, [this] { settleAll(); })
+    , m_outcomeTimer(base, [this] { resolvePendingOutcomes(); })
 {
 }
 
@@ -46,19 +48,20 @@
     operation->key = m_fenceKey + "/" + std::to_string(m_nextOperation++);
     operation->callback = std::move(callback);
     m_metrics.count("damask_table_commits_total");
-    const bool mustMove = m_fence == 0 || m_finishedOperations.size() >= m_limits.finishedOperations;
-    if (mustMove || !m_fenceWaiters.empty())
-        return refence(operation);
+    const bool needsFenceWrite
+        = m_fenceVersion == 0 || m_finishedOperations.size() >= m_limits.operationCleanupThreshold;
+    if (needsFenceWrite || !m_fenceWaiters.empty())
+        return sendAfterFenceWrite(operation);
     send(operation);
 }
 
-/// Sends the operation once the fence row has been written.
-void Store::refence(const OperationPointer& operation)
+/// Writes the fence row, or waits for the write in flight, and then sends the operation.
+void Store::sendAfterFenceWrite(const OperationPointer& operation)
 {
-    moveFence([this, operation](PlatformResult<TableVersion> fence) {
+    advanceFence([this, operation](PlatformResult<TableVersion> fence) {
         if (fence)
             return send(operation);
-        finish(operation, tl::make_unexpected(notWritten("the table is unavailable")));
+        finish(operation, tl::make_unexpected(notWritten("table unavailable")));
     });
 }
 
@@ -66,25 +69,25 @@
 {
     auto transaction = operation->transaction;
     transaction.conditions.push_back({ operation->key, 0 });
-    transaction.conditions.push_back({ m_fenceKey, m_fence });
+    transaction.conditions.push_back({ m_fenceKey, m_fenceVersion });
     transaction.writes.push_back({ operation->key, "{}" });
-    operation->fence = m_fence;
+    operation->fenceVersion = m_fenceVersion;
     m_platform.commit(transaction, [this, operation](PlatformResult<TableVersion> result) {
         if (result)
             return finish(operation, std::move(result));
         const auto& error = result.error();
         if (error.failure == PlatformFailure::OutcomeUnknown) {
             m_metrics.count("damask_table_lost_answers_total");
-            return settle(operation);
+            return resolveOutcome(operation);
         }
-        const bool fenced = error.failure == PlatformFailure::Conflict && error.key == m_fenceKey;
-        if (!fenced)
+        const bool isFenceConflict = error.failure == PlatformFailure::Conflict && error.key == m_fenceKey;
+        if (!isFenceConflict)
             return finish(operation, std::move(result));
-        // The fence row moved while this transaction was under way; nothing was written.
-        if (++operation->fenceConflicts > maxFenceConflicts)
-            return finish(operation, tl::make_unexpected(notWritten("the fence row keeps changing")));
-        if (operation->fence == m_fence)
-            return refence(operation);
+        // The fence row changed while this transaction was in flight, so nothing was written.
+        if (++operation->fenceConflicts > maxFenceConflictsPerOperation)
+            return finish(operation, tl::make_unexpected(notWritten("fence row changed on every attempt")));
+        if (operation->fenceVersion == m_fenceVersion)
+            return sendAfterFenceWrite(operation);
         send(operation);
     });
 }
@@ -96,15 +99,16 @@
     operation->callback(std::move(result));
 }
 
-/// Makes sure that the operation can't commit any more and then reads whether it did.
-void Store::settle(const OperationPointer& operation)
+/// Determines the outcome of a commit whose response was lost. Once the fence row has changed, the operation
+/// can no longer commit and its operation row tells whether it did.
+void Store::resolveOutcome(const OperationPointer& operation)
 {
-    if (operation->fence != m_fence)
+    if (operation->fenceVersion != m_fenceVersion)
         return readOutcome(operation);
-    moveFence([this, operation](PlatformResult<TableVersion> fence) {
+    advanceFence([this, operation](PlatformResult<TableVersion> fence) {
         if (fence)
             return readOutcome(operation);
-        retrySettle(operation);
+        scheduleOutcomeRetry(operation);
     });
 }
 
@@ -114,38 +118,39 @@
         if (row)
             return finish(operation, row->version);
         if (row.error().failure == PlatformFailure::NotFound)
-            return finish(operation, tl::make_unexpected(notWritten("answer lost, nothing written")));
-        retrySettle(operation);
+            return finish(
+                operation, tl::make_unexpected(notWritten("response lost; transaction did not commit")));
+        scheduleOutcomeRetry(operation);
     });
 }
 
-void Store::retrySettle(const OperationPointer& operation)
+void Store::scheduleOutcomeRetry(const OperationPointer& operation)
 {
-    if (++operation->settleAttempts >= m_limits.settleAttempts) {
+    if (++operation->outcomeAttempts >= m_limits.maxOutcomeAttempts) {
         m_metrics.count("damask_table_unknown_outcomes_total");
         return finish(operation,
             tl::make_unexpected(PlatformError {
-                PlatformFailure::OutcomeUnknown, "the table stayed unreachable after the write", "", 0 }));
+                PlatformFailure::OutcomeUnknown, "table unreachable after the commit was sent", "", 0 }));
     }
-    // All operations of this process wait for the same attempt, so that their number adds no writes.
-    m_unsettled.push_back(operation);
-    if (m_unsettled.size() > 1)
+    // All unresolved operations share one attempt and its fence write, so more of them cause no more writes.
+    m_unresolved.push_back(operation);
+    if (m_unresolved.size() > 1)
         return;
-    const auto longest = m_limits.settleBackoff.count() << (operation->settleAttempts - 1);
+    const auto longest = m_limits.outcomeBackoff.count() << (operation->outcomeAttempts - 1);
     std::uniform_int_distribution<std::int64_t> jitter(longest / 2, longest);
-    m_settleTimer.startOnce(std::chrono::milliseconds(jitter(m_random)));
+    m_outcomeTimer.startOnce(std::chrono::milliseconds(jitter(m_random)));
 }
 
-void Store::settleAll()
+void Store::resolvePendingOutcomes()
 {
-    const auto operations = std::move(m_unsettled);
-    m_unsettled.clear();
+    const auto operations = std::move(m_unresolved);
+    m_unresolved.clear();
     for (const auto& operation : operations)
-        settle(operation);
+        resolveOutcome(operation);
 }
 
-/// Writes the fence row; calls \p callback with its new version. Calls are merged.
-void Store::moveFence(FenceCallback callback)
+/// Writes the fence row and calls \p callback with its new version. Calls during a write share that write.
+void Store::advanceFence(FenceCallback callback)
 {
     m_fenceWaiters.push_back(std::move(callback));
     if (m_fenceWaiters.size() == 1)
@@ -154,42 +159,44 @@
 
 void Store::writeFence()
 {
-    Transaction transaction { { { m_fenceKey, m_fence } }, { { m_fenceKey, "{}" } } };
-    m_deleting = std::min(m_finishedOperations.size(), maxDeletionsPerCommit);
-    for (std::size_t i = 0; i < m_deleting; ++i)
+    Transaction transaction { { { m_fenceKey, m_fenceVersion } }, { { m_fenceKey, "{}" } } };
+    m_deletionsInFenceWrite = std::min(m_finishedOperations.size(), maxDeletionsPerFenceWrite);
+    for (std::size_t i = 0; i < m_deletionsInFenceWrite; ++i)
         transaction.writes.push_back({ m_finishedOperations[i], std::nullopt });
     m_metrics.count("damask_table_fence_writes_total");
     m_platform.commit(transaction, [this](PlatformResult<TableVersion> result) {
         if (result) {
-            const auto end = m_finishedOperations.begin() + static_cast<std::ptrdiff_t>(m_deleting);
+            const auto end
+                = m_finishedOperations.begin() + static_cast<std::ptrdiff_t>(m_deletionsInFenceWrite);
             m_finishedOperations.erase(m_finishedOperations.begin(), end);
-            return fenceMoved(std::move(result));
+            return completeFenceWrite(std::move(result));
         }
         const auto failure = result.error().failure;
         if (failure == PlatformFailure::OutcomeUnknown || failure == PlatformFailure::Conflict)
             return readFence();
-        fenceMoved(std::move(result));
+        completeFenceWrite(std::move(result));
     });
 }
 
-/// Finds out whether one of this process's earlier writes of the fence row took effect.
+/// Reads the fence row after a conflict or a lost response: one of this process's earlier writes of it may
+/// have taken effect.
 void Store::readFence()
 {
     m_platform.readRow(m_fenceKey, [this](PlatformResult<Row> row) {
-        if (row && row->version != m_fence)
-            return fenceMoved(row->version);
-        fenceMoved(tl::make_unexpected(notWritten("the fence row was not written")));
+        if (row && row->version != m_fenceVersion)
+            return completeFenceWrite(row->version);
+        completeFenceWrite(tl::make_unexpected(notWritten("fence row was not written")));
     });
 }
 
-void Store::fenceMoved(PlatformResult<TableVersion> result)
+void Store::completeFenceWrite(PlatformResult<TableVersion> result)
 {
     if (result)
-        m_fence = *result;
-    auto waiters = std::move(m_fenceWaiters);
+        m_fenceVersion = *result;
+    auto callbacks = std::move(m_fenceWaiters);
     m_fenceWaiters.clear();
-    for (const auto& waiter : waiters)
-        waiter(result);
+    for (const auto& callback : callbacks)
+        callback(result);
 }
 
 } // namespace damask
--- a/src/libstore/store_test.cpp
+++ b/src/libstore/store_test.cpp
@@ -13,36 +13,39 @@
 
 namespace {
 
-/// One commit as its sender saw it.
-struct Sent {
+/// One commit and the outcome that the store reported for it.
+struct CommitRecord {
     std::string key;
-    std::optional<PlatformResult<TableVersion>> answer;
+    std::optional<PlatformResult<TableVersion>> result; ///< empty while the commit is pending
 };
 
-/// A store over the fake platform, without waits between attempts.
-struct Committer {
-    Committer() { sent.reserve(64); }
+/// A store over the fake platform, without backoff between attempts.
+struct StoreFixture {
+    StoreFixture() { commits.reserve(64); }
 
     void commit()
     {
-        const auto index = sent.size();
-        sent.push_back({ "f/" + std::to_string(index), {} });
-        store.commit({ {}, { { sent[index].key, "{}" } } },
-            [this, index](PlatformResult<TableVersion> result) { sent[index].answer = std::move(result); });
+        const auto index = commits.size();
+        commits.push_back({ "f/" + std::to_string(index), {} });
+        store.commit(
+            { {}, { { commits[index].key, "{}" } } }, [this, index](PlatformResult<TableVersion> outcome) {
+                commits[index].result = std::move(outcome);
+            });
     }
 
-    bool isWaiting() const
+    bool hasPendingCommit() const
     {
-        return std::any_of(sent.begin(), sent.end(), [](const Sent& one) { return !one.answer; });
+        return std::any_of(
+            commits.begin(), commits.end(), [](const CommitRecord& record) { return !record.result; });
     }
 
-    /// Gives the loop's timers a turn.
-    void turn()
+    /// Runs the event loop until the store sends a request or no commit is pending, for at most 1 s.
+    void runTimers()
     {
-        loop.runUntil([this] { return platform.waiting() > 0 || !isWaiting(); }, 1s);
+        loop.runUntil([this] { return platform.waiting() > 0 || !hasPendingCommit(); }, 1s);
     }
 
-    int writesOf(const std::string& key) const
+    int countWrites(const std::string& key) const
     {
         const auto& history = platform.table.history();
         return static_cast<int>(
@@ -54,58 +57,61 @@
     Metrics metrics;
     FakePlatform platform;
     Store store { loop.base(), platform, clock, metrics, "a", 1, { 3, 0ms, 2 } };
-    std::vector<Sent> sent;
+    std::vector<CommitRecord> commits;
 };
 
 } // namespace
 
-RC_BOOST_PROP(whatIsReportedOfACommitStaysTrue, (const std::vector<std::uint8_t>& schedule))
+/// Loses, delays and duplicates requests at random. Once all late writes have arrived, a commit reported as
+/// successful must have been written exactly once, a commit of unknown outcome at most once and a failed
+/// commit never.
+RC_BOOST_PROP(reportedCommitOutcomeMatchesTableAfterLateWrites, (const std::vector<std::uint8_t>& schedule))
 {
     constexpr std::size_t maxCommits = 12;
     constexpr Fate fates[] = { Fate::Answer, Fate::Answer, Fate::Refuse, Fate::LoseBefore, Fate::LoseAfter,
         Fate::Delay, Fate::Duplicate };
-    Committer committer;
-    auto& platform = committer.platform;
+    StoreFixture fixture;
+    auto& platform = fixture.platform;
     for (const auto step : schedule) {
         const auto choice = step % 10U;
-        if (choice >= 8 && committer.sent.size() < maxCommits)
-            committer.commit();
+        if (choice >= 8 && fixture.commits.size() < maxCommits)
+            fixture.commit();
         else if (choice == 7 && platform.late() > 0)
             platform.arrive(step / 10U);
         else if (choice < 7 && platform.waiting() > 0)
             platform.decide(fates[choice]);
         if (platform.waiting() == 0)
-            committer.turn();
+            fixture.runTimers();
     }
-    while (committer.isWaiting() || platform.waiting() > 0) {
+    while (fixture.hasPendingCommit() || platform.waiting() > 0) {
         if (platform.waiting() > 0)
             platform.decide(Fate::Answer);
         else
-            committer.turn();
+            fixture.runTimers();
     }
-    committer.commit(); // more work, which deletes operation rows, goes on before late writes arrive
+    fixture.commit(); // may delete operation rows before the late writes arrive
     while (platform.waiting() > 0)
         platform.decide(Fate::Answer);
     while (platform.late() > 0)
         platform.arrive(0);
-    for (const auto& one : committer.sent) {
-        const auto writes = committer.writesOf(one.key);
-        if (*one.answer)
+    for (const auto& record : fixture.commits) {
+        const auto writes = fixture.countWrites(record.key);
+        if (*record.result)
             RC_ASSERT(writes == 1);
-        else if (one.answer->error().failure == PlatformFailure::OutcomeUnknown)
+        else if (record.result->error().failure == PlatformFailure::OutcomeUnknown)
             RC_ASSERT(writes <= 1);
         else
             RC_ASSERT(writes == 0);
     }
 }
 
-BOOST_AUTO_TEST_CASE(operationRowsAreDeletedInTime)
+BOOST_AUTO_TEST_CASE(numberOfOperationRowsStaysBounded)
 {
-    Committer committer;
+    StoreFixture fixture;
     for (int i = 0; i < 20; ++i) {
-        committer.commit();
-        while (committer.platform.waiting() > 0)
-            committer.platform.decide(Fate::Answer);
+        fixture.commit();
+        while (fixture.platform.waiting() > 0)
+            fixture.platform.decide(Fate::Answer);
     }
-    BOOST_TEST(committer.platform.table.rows("o/").rows.size() <= 4u);
+    BOOST_TEST(fixture.platform.table.rows("o/").rows.size() <= 4u);
 }
