--- a/src/bench_control/spread_bench.cpp
+++ b/src/bench_control/spread_bench.cpp
@@ -48,7 +48,7 @@
         , peers(loop.base(), m_clock, metrics,
               { [this] { return heartbeat(); }, [this](const Heartbeat& heard) { onPeer(heard); },
                   [this](TableVersion since) { return m_mirror.rowsSince(since); },
-                  [this](const RowSet& set) { m_mirror.take(set); } },
+                  [this](const RowSet& set) { m_mirror.applyIfNewer(set); } },
               static_cast<std::uint64_t>(number) + 1000)
         , m_tick(loop.base(), [this] { peers.tick(); })
         , m_hint(loop.base(), [this] { peers.hint(); })
--- a/src/damaskctl/commands.cpp
+++ b/src/damaskctl/commands.cpp
@@ -72,7 +72,7 @@
 public:
     explicit Client(const Options& options)
         : m_options(options)
-        , m_client(m_loop.base(), HttpLimits { .bodyBytes = 64 << 20 })
+        , m_client(m_loop.base(), HttpLimits { .maxBodyBytes = 64 << 20 })
     {
     }
 
@@ -88,7 +88,7 @@
             m_loop.runUntil([&] { return result.has_value(); }, m_options.timeout * 2);
             if (result && *result)
                 return { (*result)->status, json::parse((*result)->body, nullptr, false) };
-            const bool mayHaveRun = !result || result->error().bytesSent;
+            const bool mayHaveRun = !result || result->error().mayHaveBeenSent;
             if (mayHaveRun && method != "GET") {
                 response.body = { { "error", "no response: the change may or may not have taken effect" } };
                 return response;
--- a/src/damaskd/api.cpp
+++ b/src/damaskd/api.cpp
@@ -171,7 +171,7 @@
     current.name = name;
     m_dependencies.store.platform().readRow(resource::specKey(kind, name),
         [exchange, current, isCached = cached != nullptr](PlatformResult<Row> row) mutable {
-            if (row && resource::readSpecRow(row->value, current)) {
+            if (row && resource::decodeSpecRow(row->value, current)) {
                 current.version = row->version;
                 return reply(exchange, 200, resource::toJson(current));
             }
@@ -202,7 +202,7 @@
         return replyInvalid(exchange, errors);
     Transaction transaction;
     transaction.conditions.push_back({ resource::specKey(kind, created.name), 0 });
-    transaction.writes.push_back({ resource::specKey(kind, created.name), resource::specRow(created) });
+    transaction.writes.push_back({ resource::specKey(kind, created.name), resource::encodeSpecRow(created) });
     commit(exchange, std::move(created), std::move(transaction), 201);
 }
 
@@ -231,7 +231,7 @@
             if (!row && row.error().failure == PlatformFailure::NotFound)
                 return replyError(exchange, 404, "not found", { { "name", replaced.name } });
             Resource current;
-            if (!row || !resource::readSpecRow(row->value, current))
+            if (!row || !resource::decodeSpecRow(row->value, current))
                 return replyError(exchange, 503, "the table is unavailable; nothing was changed");
             if (row->version != replaced.version)
                 return replyError(exchange, 409, "conflict",
@@ -240,7 +240,7 @@
             replaced.generation = current.generation + 1;
             const auto key = resource::specKey(replaced.kind, replaced.name);
             Transaction transaction { { { key, replaced.version } },
-                { { key, resource::specRow(replaced) } } };
+                { { key, resource::encodeSpecRow(replaced) } } };
             commit(exchange, std::move(replaced), std::move(transaction), 200);
         });
 }
@@ -253,7 +253,7 @@
         return replyInvalid(exchange,
             { { "resourceVersion", text.value_or(""),
                 "the resourceVersion to delete, as a query parameter" } });
-    if (kind == Kind::Configuration && name == currentConfiguration)
+    if (kind == Kind::Configuration && name == currentConfigurationName)
         return replyInvalid(
             exchange, { { "name", name, "the configuration in force can only be replaced" } });
     if (!m_dependencies.catalogue.find(kind, name))
@@ -371,7 +371,7 @@
 
 void Api::rollout(const Exchange& exchange)
 {
-    const auto* configuration = m_dependencies.catalogue.find(Kind::Configuration, currentConfiguration);
+    const auto* configuration = m_dependencies.catalogue.find(Kind::Configuration, currentConfigurationName);
     const auto self = m_dependencies.status();
     json nodes = json::array();
     nodes.push_back({ { "node", self.node }, { "dataCentre", self.dataCentre },
--- a/src/damaskd/daemon.cpp
+++ b/src/damaskd/daemon.cpp
@@ -59,7 +59,7 @@
     out.lease.renewPeriod = leaseLength / 3;
     out.lease.safetyMargin = leaseLength / 6;
     out.lease.rankDelay = leaseLength / 6;
-    out.lease.contactLimit = leaseLength / 2;
+    out.lease.maxContactAge = leaseLength / 2;
     out.lease.minimumHold = leaseLength * 2;
     return out;
 }
@@ -171,7 +171,7 @@
 
 void Daemon::onHeartbeat(const Heartbeat& heartbeat)
 {
-    if (m_mirror.isCutOff() && heartbeat.tableVersion > m_mirror.version())
+    if (m_mirror.isTableUnreachable() && heartbeat.tableVersion > m_mirror.version())
         return m_peers.fetch(m_mirror.version());
     // The table holds a newer spec, so poll it now and not only after the poll period.
     if (heartbeat.specVersion > m_specVersion)
@@ -180,16 +180,16 @@
 
 void Daemon::onPeerRows(const RowSet& rows)
 {
-    const bool isAccepted = m_mirror.take(rows);
+    const bool isAccepted = m_mirror.applyIfNewer(rows);
     m_metrics.count(isAccepted ? "damask_peer_rows_taken_total" : "damask_peer_rows_refused_total");
 }
 
 void Daemon::onPeerTimer()
 {
     m_peers.tick();
-    if (m_mirror.isCutOff())
+    if (m_mirror.isTableUnreachable())
         m_peers.fetch(m_mirror.version());
-    m_snapshots.consider(isSnapshotWriter());
+    m_snapshots.writeIfDue(isSnapshotWriter());
     refreshEntryVmLoads();
 }
 
@@ -300,7 +300,7 @@
                     peers.push_back(vm);
             }
             m_peers.setPeers(peers);
-            m_controllers.setListed(*result);
+            m_controllers.setListedVms(*result);
             m_entryProxy.setListedVms(*result);
         }
     });
@@ -327,7 +327,7 @@
 void Daemon::withdrawFromBalancer()
 {
     m_isWithdrawing = true;
-    m_platform->announceEntry(m_settings.node, false, [this](const PlatformResult<bool>& result) {
+    m_platform->setAcceptingConnections(m_settings.node, false, [this](const PlatformResult<bool>& result) {
         m_isWithdrawing = false;
         m_hasWithdrawn = result.has_value();
     });
@@ -360,7 +360,7 @@
         m_lingerDeadline = now + connectionLingerTime;
     if (now >= *m_lingerDeadline) {
         m_callerServer.stopAccepting();
-        m_callerServer.closeIdle();
+        m_callerServer.closeIdleConnections();
     }
     if ((now < *m_lingerDeadline || m_callerServer.connections() > 0)
         && now < *m_lingerDeadline + connectionLingerTime) {
--- a/src/damaskd/entry.cpp
+++ b/src/damaskd/entry.cpp
@@ -125,7 +125,7 @@
 {
     const auto id = m_nextRequestId++;
     active.arrival.id = id;
-    active.exchange->onCallerGone([this, id] { handle(request::CallerGone { id }); });
+    active.exchange->onCallerDisconnected([this, id] { handle(request::CallerDisconnected { id }); });
     const auto arrival = active.arrival;
     m_activeRequests.emplace(id, std::move(active));
     handle(arrival);
@@ -134,7 +134,8 @@
 void EntryProxy::claimKey(ActiveRequest active, std::string_view key)
 {
     const auto claimId = m_nextClaimId++;
-    active.exchange->onCallerGone([this, claimId] { m_awaitingClaim.at(claimId).exchange = nullptr; });
+    active.exchange->onCallerDisconnected(
+        [this, claimId] { m_awaitingClaim.at(claimId).exchange = nullptr; });
     const auto& request = active.exchange->request();
     const auto pool = active.pool;
     const std::string keyCopy(key);
@@ -161,28 +162,29 @@
 
 void EntryProxy::answerUnclaimed(ActiveRequest& active, const ClaimResult& result)
 {
-    using idempotency::Verdict;
+    using idempotency::RepeatDecision;
     const bool isRepeat = result.kind == ClaimResult::Kind::AlreadyClaimed;
     m_metrics.count("damask_key_repeats_total{verdict=\""
-        + std::string(isRepeat ? nameOf(idempotency::verdictNames, result.decision) : "key_unverifiable")
+        + std::string(
+            isRepeat ? nameOf(idempotency::repeatDecisionNames, result.decision) : "key_unverifiable")
         + "\"}");
     if (!isRepeat)
         return refuse(active, request::Reason::KeyUnverifiable);
-    if (result.decision == Verdict::Replay) {
+    if (result.decision == RepeatDecision::Replay) {
         HttpResponse response { result.storedResponse->status, result.storedResponse->headers,
             result.storedResponse->body };
         response.headers.emplace_back("Idempotency-Replayed", "true");
         finishSpan(active.span, "replayed");
         return active.exchange->reply(std::move(response));
     }
-    if (result.decision == Verdict::InUse)
+    if (result.decision == RepeatDecision::InUse)
         return refuse(active, request::Reason::KeyInUse);
-    if (result.decision == Verdict::OutcomeUnknown)
+    if (result.decision == RepeatDecision::OutcomeUnknown)
         return refuse(active, request::Reason::KeyOutcomeUnknown);
-    const auto reason = nameOf(idempotency::verdictNames, result.decision);
+    const auto reason = nameOf(idempotency::repeatDecisionNames, result.decision);
     const nlohmann::json body = { { "outcome", "not-run" }, { "reason", reason } };
     finishSpan(active.span, reason);
-    active.exchange->reply({ result.decision == Verdict::OtherRequest ? 422 : 409,
+    active.exchange->reply({ result.decision == RepeatDecision::OtherRequest ? 422 : 409,
         { { "Content-Type", "application/json" }, { std::string(outcomeHeader), "not-run" } },
         body.dump() + "\n" });
 }
@@ -222,7 +224,7 @@
 {
     for (const auto& action : request::decide(m_state, event, m_clock.now()))
         std::visit([this](const auto& typed) { carryOut(typed); }, action);
-    if (const auto* disconnected = std::get_if<request::CallerGone>(&event)) {
+    if (const auto* disconnected = std::get_if<request::CallerDisconnected>(&event)) {
         // A request that was sent may have run although its caller has disconnected.
         if (auto found = m_activeRequests.find(disconnected->id); found != m_activeRequests.end()) {
             const bool mayHaveRun = found->second.mayHaveBeenSent;
@@ -279,7 +281,7 @@
     if (result && !isNotRunResponse(*result)) {
         event.result = request::AttemptEnded::Result::Answered;
         active.response = std::move(*result);
-    } else if (result || !result.error().bytesSent) {
+    } else if (result || !result.error().mayHaveBeenSent) {
         event.result = request::AttemptEnded::Result::NotStarted;
         active.mayHaveBeenSent = false;
     } else {
@@ -330,7 +332,7 @@
     active.exchange->reply(std::move(response));
 }
 
-void EntryProxy::carryOut(const request::Abandon& action)
+void EntryProxy::carryOut(const request::CancelAttempt& action)
 {
     auto found = m_activeRequests.find(action.id);
     if (found != m_activeRequests.end() && found->second.httpAttempt)
@@ -357,7 +359,7 @@
 
 void EntryProxy::scheduleTick()
 {
-    const auto deadline = request::nextDeadline(m_state);
+    const auto deadline = request::nextTimerAt(m_state);
     // The timer is only ever moved to an earlier time: a tick that fires too early has no effect and is
     // rescheduled.
     if (deadline >= m_nextTickAt)
--- a/src/damaskd/entry_pools.cpp
+++ b/src/damaskd/entry_pools.cpp
@@ -24,7 +24,7 @@
 
 void EntryProxy::updateRoutes(const Catalogue& catalogue)
 {
-    const auto* configuration = catalogue.find(Kind::Configuration, currentConfiguration);
+    const auto* configuration = catalogue.find(Kind::Configuration, currentConfigurationName);
     if (!configuration || configuration->generation <= m_configurationGeneration)
         return;
     m_configurationGeneration = configuration->generation;
@@ -145,7 +145,7 @@
             m_metrics.gauge("damask_pool_" + std::string(gauge) + labels, value);
         };
         set("slots", pool.usableSlots);
-        set("endpoints", double(pool.usable));
+        set("endpoints", double(pool.usableCount));
         set("retries", double(pool.counters.retries));
         set("retries_denied", double(pool.counters.retriesDenied));
         set("ejections", double(pool.counters.ejections));
--- a/src/damaskd/entry_pvt.h
+++ b/src/damaskd/entry_pvt.h
@@ -100,7 +100,7 @@
     void handle(const request::Event& event);
     void carryOut(const request::Dispatch& action);
     void carryOut(const request::Reply& action);
-    void carryOut(const request::Abandon& action);
+    void carryOut(const request::CancelAttempt& action);
     void onAttemptEnded(request::RequestId id, std::uint32_t attempt, HttpResult result);
     void sendReply(ActiveRequest& active, const request::Reply& reply);
     void tick();
--- a/src/damaskd/keyed_requests.cpp
+++ b/src/damaskd/keyed_requests.cpp
@@ -83,14 +83,14 @@
     return claim;
 }
 
-/// The response as stored for repeats; nothing if it exceeds idempotency::maxKeptAnswer.
-std::optional<idempotency::KeptAnswer> storableResponse(const HttpResponse& response)
+/// The response as stored for repeats; nothing if it exceeds idempotency::maxStoredResponseBytes.
+std::optional<idempotency::StoredResponse> storableResponse(const HttpResponse& response)
 {
-    idempotency::KeptAnswer stored { response.status, response.headers, response.body };
+    idempotency::StoredResponse stored { response.status, response.headers, response.body };
     std::size_t bytes = stored.body.size();
     for (const auto& [name, value] : stored.headers)
         bytes += name.size() + value.size();
-    return bytes <= idempotency::maxKeptAnswer ? std::optional(std::move(stored)) : std::nullopt;
+    return bytes <= idempotency::maxStoredResponseBytes ? std::optional(std::move(stored)) : std::nullopt;
 }
 
 } // namespace
@@ -113,7 +113,7 @@
 void KeyClaims::claim(const std::string& pool, std::string_view key, const HttpRequest& request,
     std::function<void(ClaimResult)> callback)
 {
-    const auto rows = idempotency::claimRows(m_clock.wallNow(), hexHash(pool + "\n" + std::string(key)));
+    const auto rows = idempotency::claimRowKeys(m_clock.wallNow(), hexHash(pool + "\n" + std::string(key)));
     HeldClaim held { rows[1], 0,
         { m_node, m_incarnation, ++m_lastSerial, fingerprintOf(request), idempotency::ClaimState::Running,
             std::nullopt } };
@@ -147,7 +147,7 @@
         if (!claim)
             return callback({ ClaimResult::Kind::Unverifiable });
         ClaimResult out { ClaimResult::Kind::AlreadyClaimed };
-        out.decision = judge(*claim, fingerprint, m_isProcessLive(claim->node, claim->incarnation));
+        out.decision = decideRepeat(*claim, fingerprint, m_isProcessLive(claim->node, claim->incarnation));
         out.storedResponse = claim->answer;
         callback(std::move(out));
     });
@@ -223,7 +223,7 @@
 
 void KeyClaims::deleteExpiredClaims()
 {
-    const auto prefix = idempotency::expiredPrefix(m_clock.wallNow(), m_expirySlice);
+    const auto prefix = idempotency::expiredClaimPrefix(m_clock.wallNow(), m_expirySlice);
     m_store.platform().readRows(prefix, [this](const PlatformResult<Changes>& rows) {
         if (!rows)
             return;
--- a/src/damaskd/keyed_requests_pvt.h
+++ b/src/damaskd/keyed_requests_pvt.h
@@ -28,8 +28,8 @@
     } kind
         = Kind::Unverifiable;
     HeldClaim held;
-    idempotency::Verdict decision = idempotency::Verdict::InUse; ///< on the repeat
-    std::optional<idempotency::KeptAnswer> storedResponse; ///< for Verdict::Replay
+    idempotency::RepeatDecision decision = idempotency::RepeatDecision::InUse; ///< on the repeat
+    std::optional<idempotency::StoredResponse> storedResponse; ///< for RepeatDecision::Replay
 };
 
 /// Claims keys before their requests are dispatched and records the outcomes in the claims. The reply to
--- a/src/damaskd/watch.cpp
+++ b/src/damaskd/watch.cpp
@@ -51,7 +51,7 @@
     m_streams.push_back(stream);
     exchange->startStream(200, { { "Content-Type", "application/x-ndjson" } });
     std::weak_ptr<Stream> weak = stream;
-    exchange->onCallerGone([this, weak] {
+    exchange->onCallerDisconnected([this, weak] {
         if (auto closed = weak.lock())
             m_streams.remove(closed);
     });
@@ -71,7 +71,7 @@
             if (!stream)
                 return;
             if (!result) {
-                const bool isHistoryGone = result.error().failure == PlatformFailure::HistoryGone;
+                const bool isHistoryGone = result.error().failure == PlatformFailure::HistoryTruncated;
                 const json error
                     = { { "type", "error" }, { "error", isHistoryGone ? "history_gone" : "unavailable" } };
                 stream->exchange->sendChunk(error.dump() + "\n");
--- a/src/http.platform/http_platform.cpp
+++ b/src/http.platform/http_platform.cpp
@@ -14,7 +14,7 @@
 /// left.
 PlatformError fromClientError(const HttpClientError& error, bool isWrite)
 {
-    const bool isOutcomeUnknown = isWrite && error.bytesSent;
+    const bool isOutcomeUnknown = isWrite && error.mayHaveBeenSent;
     return { isOutcomeUnknown ? PlatformFailure::OutcomeUnknown : PlatformFailure::Unavailable,
         "no response from the platform", "", 0 };
 }
@@ -38,7 +38,7 @@
         }
         break;
     case 410:
-        error.failure = PlatformFailure::HistoryGone;
+        error.failure = PlatformFailure::HistoryTruncated;
         break;
     case 400:
         error.failure = PlatformFailure::Invalid;
@@ -127,7 +127,7 @@
 public:
     explicit HttpPlatform(const PlatformContext& context)
         : m_context(context)
-        , m_httpClient(context.base, HttpLimits { .bodyBytes = maxResponseBytes })
+        , m_httpClient(context.base, HttpLimits { .maxBodyBytes = maxResponseBytes })
     {
     }
 
@@ -176,20 +176,20 @@
             "GET", "/vms", "", "", false, parseItems<ListedVm, parseListedVm>, std::move(callback));
     }
 
-    void commandVm(std::string_view vm, VmCommand command, PlatformCallback<bool> callback) override
+    void sendVmCommand(std::string_view vm, VmCommand command, PlatformCallback<bool> callback) override
     {
         const auto path
             = "/vms/" + http::percentEncode(vm) + "/" + std::string(nameOf(vmCommandNames, command));
         call<bool>("POST", path, "", "{}", true, alwaysTrue, std::move(callback));
     }
 
-    void reportVms(PlatformCallback<std::vector<VmReport>> callback) override
+    void readVmReports(PlatformCallback<std::vector<VmReport>> callback) override
     {
         call<std::vector<VmReport>>(
             "GET", "/reports/vms", "", "", false, parseItems<VmReport, parseVmReport>, std::move(callback));
     }
 
-    void commandTask(const TaskRequest& request, PlatformCallback<bool> callback) override
+    void sendTaskCommand(const TaskRequest& request, PlatformCallback<bool> callback) override
     {
         const json body = { { "task", request.task }, { "vm", request.vm },
             { "leaseEpoch", request.leaseEpoch }, { "job", request.job }, { "spec", request.spec } };
@@ -197,13 +197,14 @@
         call<bool>("POST", path, "", body.dump(), true, alwaysTrue, std::move(callback));
     }
 
-    void reportTasks(PlatformCallback<std::vector<TaskReport>> callback) override
+    void readTaskReports(PlatformCallback<std::vector<TaskReport>> callback) override
     {
         call<std::vector<TaskReport>>("GET", "/reports/tasks", "", "", false,
             parseItems<TaskReport, parseTaskReport>, std::move(callback));
     }
 
-    void announceEntry(std::string_view vm, bool accepting, PlatformCallback<bool> callback) override
+    void setAcceptingConnections(
+        std::string_view vm, bool accepting, PlatformCallback<bool> callback) override
     {
         const json body = { { "accepting", accepting } };
         call<bool>("POST", "/balancer/" + http::percentEncode(vm), "", body.dump(), true, alwaysTrue,
--- a/src/include/damaskworks/catalogue.h
+++ b/src/include/damaskworks/catalogue.h
@@ -27,7 +27,7 @@
     /// Returns the resources of one kind that belong to \p pool, sorted by name. A VM belongs to the pool in
     /// its status if there is one, every other resource to the pool in its spec. An index by pool makes
     /// the cost depend on the number of results, not on the size of the catalogue.
-    std::vector<const Resource*> listOfPool(Kind kind, std::string_view pool) const;
+    std::vector<const Resource*> listByPool(Kind kind, std::string_view pool) const;
     /// Returns the version of the status row; 0 if there is none.
     TableVersion statusVersion(Kind kind, std::string_view name) const;
 
--- a/src/include/damaskworks/controller_runner.h
+++ b/src/include/damaskworks/controller_runner.h
@@ -50,7 +50,7 @@
     /// Sets the entry VMs that are reachable and not leaving, this one included.
     void setMembers(std::vector<std::string> members) { m_members = std::move(members); }
     /// Sets the VMs from the platform's list.
-    void setListed(const std::vector<ListedVm>& vms);
+    void setListedVms(const std::vector<ListedVm>& vms);
     /// Sets the demand by pool, summed over all reachable entry VMs.
     void setDemand(std::map<std::string, PoolDemand> demand) { m_demand = std::move(demand); }
     /// Plans shortly rather than at the next period, for example after rows have changed.
--- a/src/include/damaskworks/http.h
+++ b/src/include/damaskworks/http.h
@@ -66,7 +66,7 @@
 
 /// Limits on what the other side of a connection may send.
 struct HttpLimits {
-    std::size_t bodyBytes = 4 * 1024 * 1024;
+    std::size_t maxBodyBytes = 4 * 1024 * 1024;
     std::size_t maxHeaderBytes = 32 * 1024; ///< of a message's start line and header fields
     /// Longest wait for the next byte.
     std::chrono::milliseconds idleTimeout { 60'000 };
@@ -93,7 +93,7 @@
     /// Whether the caller is still connected and the response is not complete.
     virtual bool isOpen() const = 0;
     /// Calls \p callback once if the caller disconnects before the response is complete.
-    virtual void onCallerGone(std::function<void()> callback) = 0;
+    virtual void onCallerDisconnected(std::function<void()> callback) = 0;
 };
 
 using HttpHandler = std::function<void(std::shared_ptr<HttpExchange>)>;
@@ -118,7 +118,7 @@
     /// From now on, closes each connection after its next response.
     void startDraining();
     /// Closes the connections that have no request in progress and no response to send.
-    void closeIdle();
+    void closeIdleConnections();
     /// Whether any response is not yet completely written to its socket.
     bool isSending() const;
     /// Number of open connections.
@@ -144,7 +144,7 @@
 /// A failed attempt.
 struct HttpClientError {
     HttpFailure failure = HttpFailure::Connect;
-    bool bytesSent = false; ///< whether the client may have sent any byte of the request
+    bool mayHaveBeenSent = false; ///< whether the client may have sent any byte of the request
 };
 
 using HttpResult = tl::expected<HttpResponse, HttpClientError>;
@@ -167,7 +167,7 @@
     /// Cancels an attempt and closes its connection. Does not call its callback.
     void cancel(HttpAttemptId attempt);
     /// Closes the idle connections to \p address.
-    void closeIdle(const Address& address);
+    void closeIdleConnections(const Address& address);
 
     struct Impl;
 
--- a/src/include/damaskworks/platform.h
+++ b/src/include/damaskworks/platform.h
@@ -64,7 +64,7 @@
     OutcomeUnknown, ///< the response was lost; a write may or may not have taken effect
     Conflict, ///< a condition of the transaction did not hold; nothing was written
     NotFound, ///< the row or object does not exist
-    HistoryGone, ///< the table no longer keeps the requested changes; the caller must read all rows
+    HistoryTruncated, ///< the table no longer keeps the requested changes; the caller must read all rows
     Invalid, ///< the platform refused the request as malformed
 };
 
@@ -73,7 +73,7 @@
     { PlatformFailure::OutcomeUnknown, "outcome_unknown" },
     { PlatformFailure::Conflict, "conflict" },
     { PlatformFailure::NotFound, "not_found" },
-    { PlatformFailure::HistoryGone, "history_gone" },
+    { PlatformFailure::HistoryTruncated, "history_gone" },
     { PlatformFailure::Invalid, "invalid" },
 } };
 
@@ -189,7 +189,7 @@
     /// Reads all rows whose key starts with \p prefix, and the table's version.
     virtual void readRows(std::string_view prefix, PlatformCallback<Changes> callback) = 0;
     /// Reads every write after \p since to rows whose key starts with \p prefix, in commit order. Fails with
-    /// HistoryGone if the table no longer keeps all of them.
+    /// HistoryTruncated if the table no longer keeps all of them.
     virtual void readChanges(std::string_view prefix, TableVersion since, PlatformCallback<Changes> callback)
         = 0;
     /// Commits a transaction; the result is the table version of the commit.
@@ -202,15 +202,16 @@
     /// Reads the platform's list of VMs, which lags behind their actual state.
     virtual void listVms(PlatformCallback<std::vector<ListedVm>> callback) = 0;
     /// Sends a command to a VM.
-    virtual void commandVm(std::string_view vm, VmCommand command, PlatformCallback<bool> callback) = 0;
+    virtual void sendVmCommand(std::string_view vm, VmCommand command, PlatformCallback<bool> callback) = 0;
     /// Reads the latest reports of the VMs.
-    virtual void reportVms(PlatformCallback<std::vector<VmReport>> callback) = 0;
+    virtual void readVmReports(PlatformCallback<std::vector<VmReport>> callback) = 0;
     /// Sends a command to the worker of a task.
-    virtual void commandTask(const TaskRequest& request, PlatformCallback<bool> callback) = 0;
+    virtual void sendTaskCommand(const TaskRequest& request, PlatformCallback<bool> callback) = 0;
     /// Reads the latest reports of the tasks.
-    virtual void reportTasks(PlatformCallback<std::vector<TaskReport>> callback) = 0;
+    virtual void readTaskReports(PlatformCallback<std::vector<TaskReport>> callback) = 0;
     /// Tells the platform's load balancer whether the entry VM \p vm accepts new connections.
-    virtual void announceEntry(std::string_view vm, bool accepting, PlatformCallback<bool> callback) = 0;
+    virtual void setAcceptingConnections(std::string_view vm, bool accepting, PlatformCallback<bool> callback)
+        = 0;
 };
 
 /// Parameters for the creation of a platform adapter.
--- a/src/include/damaskworks/resource.h
+++ b/src/include/damaskworks/resource.h
@@ -40,7 +40,7 @@
 } };
 
 /// Name of the only Configuration resource that may exist.
-inline constexpr std::string_view currentConfiguration = "current";
+inline constexpr std::string_view currentConfigurationName = "current";
 
 /// A resource. Operators write the spec, controllers write the status.
 struct Resource {
@@ -87,10 +87,10 @@
 std::vector<FieldError> validate(Kind kind, std::string_view name, nlohmann::json& spec);
 
 /// Encodes the value of the resource's spec row, as JSON text.
-std::string specRow(const Resource& resource);
+std::string encodeSpecRow(const Resource& resource);
 /// Decodes the value of a spec row into the generation and spec of \p resource. Returns false, and changes
 /// nothing, if it is malformed.
-bool readSpecRow(std::string_view text, Resource& resource);
+bool decodeSpecRow(std::string_view text, Resource& resource);
 /// Converts a resource to JSON as the administration API returns it.
 nlohmann::json toJson(const Resource& resource);
 /// Converts field errors to JSON as the administration API returns them.
--- a/src/include/damaskworks/shared_table.h
+++ b/src/include/damaskworks/shared_table.h
@@ -61,7 +61,7 @@
     Overloaded, ///< the call had no effect; the table limits the rate of calls
     Unknown, ///< the write may have taken effect, or still may
     Conflict, ///< a precondition did not hold; the call had no effect
-    HistoryGone, ///< the table no longer keeps the requested changes
+    HistoryTruncated, ///< the table no longer keeps the requested changes
     Invalid, ///< the table rejected the call for good, or its answer cannot be decoded
 };
 
@@ -70,7 +70,7 @@
     { TableFailure::Overloaded, "overloaded" },
     { TableFailure::Unknown, "unknown" },
     { TableFailure::Conflict, "conflict" },
-    { TableFailure::HistoryGone, "history_gone" },
+    { TableFailure::HistoryTruncated, "history_gone" },
     { TableFailure::Invalid, "invalid" },
 } };
 
--- a/src/include/damaskworks/snapshot.h
+++ b/src/include/damaskworks/snapshot.h
@@ -53,7 +53,7 @@
     /// Writes a snapshot if \p isWriter (this node is the one that writes snapshots), the mirror's last poll
     /// of the table succeeded, the period has passed and the table has changed since this node's last
     /// snapshot.
-    void consider(bool isWriter);
+    void writeIfDue(bool isWriter);
 
 private:
     Platform& m_platform;
--- a/src/include/damaskworks/store.h
+++ b/src/include/damaskworks/store.h
@@ -136,7 +136,7 @@
     /// Whether the mirror has loaded all rows, from the table, a snapshot or a peer.
     bool isComplete() const { return m_isComplete; }
     /// Whether the last poll of the table failed or none has succeeded yet.
-    bool isCutOff() const { return m_consecutiveFailures > 0 || m_lastContact == TimePoint {}; }
+    bool isTableUnreachable() const { return m_consecutiveFailures > 0 || m_lastContact == TimePoint {}; }
     /// Time of the last successful poll.
     TimePoint lastContact() const { return m_lastContact; }
     /// Start time of the last poll that has ended, whether it succeeded or failed.
@@ -147,7 +147,7 @@
     /// Applies rows from a peer or a snapshot and returns true. Returns false, and changes nothing, if the
     /// set is not newer than this copy, or if it holds only changes and leaves a gap after this copy's
     /// version.
-    bool take(const RowSet& set);
+    bool applyIfNewer(const RowSet& set);
 
 private:
     void scheduleNextPoll();
--- a/src/jobs.controller/job_rows.cpp
+++ b/src/jobs.controller/job_rows.cpp
@@ -48,8 +48,8 @@
     progress.task = status.value("task", "");
     progress.epoch = status.value("epoch", std::uint64_t { 0 });
     progress.attempts = status.value("attempts", 0u);
-    progress.ending
-        = valueOf(placement::endingNames, status.value("ending", "none")).value_or(placement::Ending::None);
+    progress.stopReason = valueOf(placement::stopReasonNames, status.value("ending", "none"))
+                              .value_or(placement::StopReason::None);
     progress.failedOn = status.value("failedOn", std::vector<std::string> {});
     const auto conditions = status.value("conditions", std::vector<std::string> {});
     progress.condition = conditions.empty() ? "" : conditions.front();
@@ -63,8 +63,9 @@
         conditions.push_back(progress.condition);
     const json row = { { "phase", nameOf(placement::phaseNames, progress.phase) }, { "vm", progress.vm },
         { "task", progress.task }, { "epoch", progress.epoch }, { "attempts", progress.attempts },
-        { "ending", nameOf(placement::endingNames, progress.ending) }, { "failedOn", progress.failedOn },
-        { "conditions", conditions }, { "generation", job.generation }, { "specVersion", job.version } };
+        { "ending", nameOf(placement::stopReasonNames, progress.stopReason) },
+        { "failedOn", progress.failedOn }, { "conditions", conditions }, { "generation", job.generation },
+        { "specVersion", job.version } };
     return row.dump();
 }
 
--- a/src/jobs.controller/jobs_plan.cpp
+++ b/src/jobs.controller/jobs_plan.cpp
@@ -7,8 +7,8 @@
 namespace damask::jobs {
 namespace {
 
-using placement::Ending;
 using placement::Phase;
+using placement::StopReason;
 
 constexpr std::size_t maxRowsPerCommit = 50;
 constexpr std::size_t maxCommitsPerPlan = 8;
@@ -58,20 +58,20 @@
     const auto statusVersion = view.catalogue.statusVersion(Kind::Job, job.name);
     const bool isSpecNew = observed.specVersion != job.version;
     if (isSpecNew)
-        declare(plannerState.placementState, readSpec(job));
+        declareJob(plannerState.placementState, readSpec(job));
     const bool isStatusNew = observed.statusVersion != statusVersion;
     if (!isNew && !isSpecNew && !isStatusNew && !plannerState.submittedWrites.contains(job.name))
         return;
     observed.specVersion = job.version;
     observed.statusVersion = statusVersion;
     auto progress = readProgress(job);
-    if (progress.ending != observed.progress.ending || progress.task != observed.progress.task)
+    if (progress.stopReason != observed.progress.stopReason || progress.task != observed.progress.task)
         observed.stopReasonSince = view.now;
     if (progress.task != observed.progress.task)
         observed.lastCommand.reset();
     observed.progress = std::move(progress);
     plannerState.pendingWrites.erase(job.name);
-    restore(plannerState.placementState, job.name, observed.progress);
+    restoreProgress(plannerState.placementState, job.name, observed.progress);
 }
 
 void readJobs(const controller::View& view, PlannerState& plannerState)
@@ -82,7 +82,7 @@
     std::erase_if(plannerState.observedJobs, [&](const auto& entry) {
         if (view.catalogue.find(Kind::Job, entry.first))
             return false;
-        forget(plannerState.placementState, entry.first);
+        removeJob(plannerState.placementState, entry.first);
         plannerState.pendingWrites.erase(entry.first);
         return true;
     });
@@ -99,14 +99,14 @@
         else if (observed.missingSince == TimePoint {})
             observed.missingSince = view.now;
         else if (view.now - observed.missingSince >= lostTaskTimeout)
-            beginEnding(plannerState.placementState, name, Ending::Lost);
+            requestStop(plannerState.placementState, name, StopReason::Lost);
     }
 }
 
 void commitChanges(
     const controller::View& view, PlannerState& plannerState, std::vector<controller::Action>& actions)
 {
-    plannerState.pendingWrites.merge(takeChanged(plannerState.placementState));
+    plannerState.pendingWrites.merge(takeChangedJobs(plannerState.placementState));
     controller::Commit commit { {}, "jobs" };
     std::set<std::string> vmsWithCondition;
     std::size_t commits = 0;
@@ -146,12 +146,13 @@
     const bool isKnown = report != view.taskReports.end();
     if (isKnown && report->second.state != TaskState::Running)
         return std::nullopt;
-    if (progress.ending == Ending::None) {
+    if (progress.stopReason == StopReason::None) {
         // Never start a running task again: the VM may have lost track of it and would run it twice.
         const bool mayStart = !isKnown && progress.phase == Phase::Placed;
         return mayStart ? std::optional(TaskCommand::Start) : std::nullopt;
     }
-    const bool wantsCheckpoint = progress.ending == Ending::Preempt || progress.ending == Ending::Drain;
+    const bool wantsCheckpoint
+        = progress.stopReason == StopReason::Preempt || progress.stopReason == StopReason::Drain;
     if (wantsCheckpoint && isKnown && !report->second.checkpointed
         && view.now - observed.stopReasonSince < checkpointTimeout)
         return TaskCommand::Checkpoint;
--- a/src/jobs.controller/jobs_property_test.cpp
+++ b/src/jobs.controller/jobs_property_test.cpp
@@ -147,7 +147,7 @@
             RC_ASSERT(world.phase(jobName(job)) == (job == failingJob ? "failed" : "succeeded"));
         for (unsigned vm = 0; vm < 4; ++vm) {
             const auto& worker = world.plannerState().placementState.workers.at("vm-" + std::to_string(vm));
-            RC_ASSERT(vm == failingWorker || worker.setAsideUntil == TimePoint {});
+            RC_ASSERT(vm == failingWorker || worker.quarantinedUntil == TimePoint {});
         }
     }));
 }
--- a/src/jobs.controller/model_world.cpp
+++ b/src/jobs.controller/model_world.cpp
@@ -26,11 +26,11 @@
         Resource vm { Kind::Vm, name };
         vm.spec = { { "pool", "imaging" }, { "rack", "rack-" + name }, { "cpu", 4 }, { "memoryMb", 4000 },
             { "accelerators", 0 } };
-        write(resource::specKey(Kind::Vm, name), resource::specRow(vm));
+        write(resource::specKey(Kind::Vm, name), resource::encodeSpecRow(vm));
     }
     Resource team { Kind::Team, "bench" };
     team.spec = { { "cpu", quotaCpu }, { "memoryMb", 1e6 }, { "accelerators", 0 } };
-    write(resource::specKey(Kind::Team, "bench"), resource::specRow(team));
+    write(resource::specKey(Kind::Team, "bench"), resource::encodeSpecRow(team));
 }
 
 void World::declare(const std::string& name, double cpu, const std::string& priority, bool alwaysFails)
@@ -40,7 +40,7 @@
     m_declaredCpu[name] = cpu;
     if (alwaysFails)
         m_alwaysFailingJobs.insert(name);
-    write(resource::specKey(Kind::Job, name), resource::specRow(job));
+    write(resource::specKey(Kind::Job, name), resource::encodeSpecRow(job));
 }
 
 void World::cancel(const std::string& name)
@@ -51,7 +51,7 @@
     auto job = *found;
     ++job.generation;
     job.spec["cancelled"] = true;
-    write(resource::specKey(Kind::Job, name), resource::specRow(job));
+    write(resource::specKey(Kind::Job, name), resource::encodeSpecRow(job));
 }
 
 void World::write(const std::string& key, const std::string& value)
--- a/src/libcontroller/runner.cpp
+++ b/src/libcontroller/runner.cpp
@@ -55,7 +55,7 @@
     refreshReports();
 }
 
-void Runner::setListed(const std::vector<ListedVm>& vms) { m_listedVms = indexBy(vms, &ListedVm::id); }
+void Runner::setListedVms(const std::vector<ListedVm>& vms) { m_listedVms = indexBy(vms, &ListedVm::id); }
 
 void Runner::planSoon() { m_planSoonTimer.startOnce(planSoonDelay); }
 
@@ -102,15 +102,16 @@
 
 void Runner::updateLeases()
 {
-    const lease::Surroundings cluster { leaseKeys(), m_members, m_leaseRows.lastContact(), m_isStopping };
-    for (const auto& attempt : lease::decide(m_leases, m_settings.lease, cluster, m_context.clock.now()))
+    const lease::ClusterView cluster { leaseKeys(), m_members, m_leaseRows.lastContact(), m_isStopping };
+    for (const auto& attempt :
+        lease::planAttempts(m_leases, m_settings.lease, cluster, m_context.clock.now()))
         commitAttempt(attempt);
 }
 
 void Runner::commitAttempt(const lease::Attempt& attempt)
 {
     m_context.store.commit(attempt.transaction, [this, attempt](PlatformResult<TableVersion> result) {
-        lease::finish(m_leases, attempt, result, m_context.clock.now());
+        lease::applyResult(m_leases, attempt, result, m_context.clock.now());
         m_context.metrics.gauge("damask_leases_held", static_cast<double>(heldLeaseCount()));
         if (!result) {
             m_context.metrics.count("damask_lease_attempts_failed_total");
@@ -120,7 +121,7 @@
             return;
         for (const auto& key : attempt.keys)
             logEvent(LogLevel::Info,
-                attempt.kind == lease::AttemptKind::Take ? "lease_taken" : "lease_released",
+                attempt.kind == lease::AttemptKind::Acquire ? "lease_taken" : "lease_released",
                 { { "lease", key }, { "epoch", std::to_string(m_leases.leases[key].content.epoch) } });
         planSoon();
     });
@@ -137,7 +138,7 @@
         return;
     // The age of a report counts from the request: the platform may have read the state at any time since.
     if (!std::exchange(m_isVmReportPending, true)) {
-        m_context.store.platform().reportVms([this, now](PlatformResult<std::vector<VmReport>> result) {
+        m_context.store.platform().readVmReports([this, now](PlatformResult<std::vector<VmReport>> result) {
             m_isVmReportPending = false;
             if (!result)
                 return;
@@ -148,7 +149,7 @@
     }
     if (std::exchange(m_isTaskReportPending, true))
         return;
-    m_context.store.platform().reportTasks([this, now](PlatformResult<std::vector<TaskReport>> result) {
+    m_context.store.platform().readTaskReports([this, now](PlatformResult<std::vector<TaskReport>> result) {
         m_isTaskReportPending = false;
         if (!result)
             return;
@@ -170,7 +171,7 @@
     auto& keyState = m_keyStates[leaseKey];
     // Plan only on rows that include every commit of this holder and of earlier ones.
     const auto& lease = m_leases.leases[leaseKey];
-    const auto requiredVersion = std::max(keyState.committedVersion, lease.fence);
+    const auto requiredVersion = std::max(keyState.committedVersion, lease.fenceVersion);
     if (!mayAct(leaseKey) || keyState.pendingActions > 0 || requiredVersion > m_context.resources.version())
         return;
     const auto [definitionName, key] = splitLeaseKey(leaseKey);
@@ -214,7 +215,7 @@
         return;
     ++m_keyStates[leaseKey].pendingActions;
     m_context.metrics.count("damask_vm_commands_total");
-    m_context.store.platform().commandVm(action.vm, action.command, commandCallback(leaseKey));
+    m_context.store.platform().sendVmCommand(action.vm, action.command, commandCallback(leaseKey));
 }
 
 void Runner::execute(const std::string& leaseKey, const CommandTask& action)
@@ -223,7 +224,7 @@
         return;
     ++m_keyStates[leaseKey].pendingActions;
     m_context.metrics.count("damask_task_commands_total");
-    m_context.store.platform().commandTask(action.request, commandCallback(leaseKey));
+    m_context.store.platform().sendTaskCommand(action.request, commandCallback(leaseKey));
 }
 
 } // namespace damask::controller
--- a/src/libfleet/caller_service_test.cpp
+++ b/src/libfleet/caller_service_test.cpp
@@ -27,7 +27,7 @@
     std::size_t unsentBytes() const override { return 0; }
     void endStream() override { }
     bool isOpen() const override { return !answer; }
-    void onCallerGone(std::function<void()>) override { }
+    void onCallerDisconnected(std::function<void()>) override { }
 
     std::optional<HttpResponse> answer;
 
--- a/src/libfleet/fleet_node.cpp
+++ b/src/libfleet/fleet_node.cpp
@@ -388,7 +388,7 @@
     if (isOutOfRotation) {
         m_callerServer.stopAccepting();
         if (m_callers.activeRequests() == 0)
-            m_callerServer.closeIdle();
+            m_callerServer.closeIdleConnections();
     }
     const bool idle = m_callers.activeRequests() == 0 && !m_callerServer.isSending() && m_holders.empty()
         && !m_coordinator;
--- a/src/libfleet/table_follower.cpp
+++ b/src/libfleet/table_follower.cpp
@@ -138,7 +138,7 @@
     m_table.follow(m_settings.table, m_version, maxFollowWait,
         [this, sentAt = m_clock.now()](TableResult<TableRows> rows) {
             if (!rows)
-                return onFailure(rows.error(), rows.error() == TableFailure::HistoryGone);
+                return onFailure(rows.error(), rows.error() == TableFailure::HistoryTruncated);
             onSuccess();
             // An answer without changes means that the table waited for the whole time.
             m_currentAsOf = rows->rows.empty() ? sentAt + maxFollowWait : sentAt;
--- a/src/libfleet/timed_table.cpp
+++ b/src/libfleet/timed_table.cpp
@@ -9,7 +9,7 @@
 /// Returns whether the failure shows that the table has processed the call.
 bool isAnswer(TableFailure failure)
 {
-    return failure == TableFailure::Conflict || failure == TableFailure::HistoryGone
+    return failure == TableFailure::Conflict || failure == TableFailure::HistoryTruncated
         || failure == TableFailure::Invalid;
 }
 
--- a/src/libnet/http_client.cpp
+++ b/src/libnet/http_client.cpp
@@ -174,7 +174,7 @@
     {
         auto* connection = evhttp_connection_base_bufferevent_new(
             base, nullptr, nullptr, address.ip.c_str(), address.port);
-        evhttp_connection_set_max_body_size(connection, static_cast<ev_ssize_t>(limits.bodyBytes));
+        evhttp_connection_set_max_body_size(connection, static_cast<ev_ssize_t>(limits.maxBodyBytes));
         evhttp_connection_set_max_headers_size(connection, static_cast<ev_ssize_t>(limits.maxHeaderBytes));
         return connection;
     }
@@ -366,7 +366,7 @@
     m_impl->finish(attempt, tl::make_unexpected(HttpClientError { HttpFailure::Cancelled, true }), true);
 }
 
-void HttpClient::closeIdle(const Address& address)
+void HttpClient::closeIdleConnections(const Address& address)
 {
     auto found = m_impl->idle.find(address);
     if (found == m_impl->idle.end())
--- a/src/libnet/http_client_test.cpp
+++ b/src/libnet/http_client_test.cpp
@@ -84,7 +84,7 @@
         const auto result = send(endpoint, "/x", 500ms);
         BOOST_TEST(!result, invalid.name << " was passed on as " << (result ? result->status : 0));
         if (!result)
-            BOOST_TEST(result.error().bytesSent, invalid.name);
+            BOOST_TEST(result.error().mayHaveBeenSent, invalid.name);
     }
 }
 
@@ -181,7 +181,7 @@
     const auto slow = send(endpoint, "/slow", 50ms);
     BOOST_REQUIRE(!slow);
     BOOST_TEST((slow.error().failure == HttpFailure::Timeout));
-    BOOST_TEST(slow.error().bytesSent);
+    BOOST_TEST(slow.error().mayHaveBeenSent);
     slowConnection->send(responseWithBody("late"));
     BOOST_TEST(send(endpoint, "/next")->body == "own");
     runPendingEvents();
--- a/src/libnet/http_server.cpp
+++ b/src/libnet/http_server.cpp
@@ -106,7 +106,7 @@
         return 400;
     if (summary.transferEncodingFields > 1 || summary.hasUnsupportedTransferEncoding)
         return 501;
-    if (summary.contentLength > limits.bodyBytes)
+    if (summary.contentLength > limits.maxBodyBytes)
         return 413;
     return 0;
 }
@@ -392,7 +392,7 @@
 
     bool isOpen() const override { return m_raw && !m_isFinished; }
 
-    void onCallerGone(std::function<void()> callback) override
+    void onCallerDisconnected(std::function<void()> callback) override
     {
         m_onCallerDisconnected = std::move(callback);
     }
@@ -408,7 +408,7 @@
     HttpServer::Impl& server() const { return m_server; }
 
     /// Drops the reference to libevhtp's request, which is about to be freed, and calls the callback of
-    /// onCallerGone().
+    /// onCallerDisconnected().
     void detach()
     {
         m_raw = nullptr;
@@ -513,7 +513,7 @@
     if (connection.refusalStatus)
         return refuseInHook(connection, connection.refusalStatus);
     const auto length = evbuffer_get_length(request->buffer_in) + evbuffer_get_length(data);
-    return length > connection.server.limits.bodyBytes ? refuseInHook(connection, 413) : EVHTP_RES_OK;
+    return length > connection.server.limits.maxBodyBytes ? refuseInHook(connection, 413) : EVHTP_RES_OK;
 }
 
 evhtp_res onConnectionFinished(evhtp_connection_t* raw, void* argument)
@@ -587,7 +587,7 @@
 
 void HttpServer::startDraining() { m_impl->isDraining = true; }
 
-void HttpServer::closeIdle()
+void HttpServer::closeIdleConnections()
 {
     std::vector<evhtp_connection_t*> idleConnections;
     for (const auto& [raw, connection] : m_impl->connections) {
--- a/src/libnet/http_server_test.cpp
+++ b/src/libnet/http_server_test.cpp
@@ -25,7 +25,7 @@
             handled.push_back(path);
             if (path != "/hold")
                 return exchange->reply({ 200, {}, "path=" + path + ";" });
-            exchange->onCallerGone([this] { ++disconnects; });
+            exchange->onCallerDisconnected([this] { ++disconnects; });
             heldExchanges.push_back(std::move(exchange));
         } };
     Address address { "127.0.0.1", *server.listen({ "127.0.0.1", 0 }) };
@@ -227,7 +227,7 @@
     idle.send("GET /a HTTP/1.1\r\nHost: x\r\n\r\n");
     BOOST_TEST(loop.runUntil([&] { return heldExchanges.size() == 1 && !idle.received().empty(); }, 3s));
     server.startDraining();
-    server.closeIdle();
+    server.closeIdleConnections();
     BOOST_TEST(loop.runUntil([&] { return idle.isClosed(); }, 3s));
     BOOST_TEST(!busy.isClosed());
     heldExchanges.front()->reply({ 200, {}, "held;" });
@@ -246,7 +246,7 @@
     body.resize(20'000'000, 'x'); // more than the socket buffers hold
     heldExchanges.front()->reply({ 200, {}, body });
     BOOST_TEST(server.isSending());
-    server.closeIdle();
+    server.closeIdleConnections();
     BOOST_TEST(loop.runUntil([&] { return caller.received().size() > body.size(); }, 10s));
     BOOST_TEST(!server.isSending());
 }
--- a/src/libnet/http_test.cpp
+++ b/src/libnet/http_test.cpp
@@ -125,6 +125,6 @@
         error = result.error();
     });
     BOOST_REQUIRE(loop.runUntil([&] { return error.has_value(); }, 5s));
-    BOOST_TEST(!error->bytesSent);
+    BOOST_TEST(!error->mayHaveBeenSent);
     BOOST_TEST((error->failure == HttpFailure::Connect));
 }
--- a/src/libresource/catalogue.cpp
+++ b/src/libresource/catalogue.cpp
@@ -39,7 +39,7 @@
             = row.deleted ? nlohmann::json::object() : nlohmann::json::parse(row.value, nullptr, false);
         entry.resource.status = status.is_object() ? std::move(status) : nlohmann::json::object();
     } else {
-        entry.hasSpec = !row.deleted && resource::readSpecRow(row.value, entry.resource);
+        entry.hasSpec = !row.deleted && resource::decodeSpecRow(row.value, entry.resource);
         entry.resource.version = row.deleted ? 0 : row.version;
     }
     removeFromIndex(key, entry);
@@ -67,7 +67,7 @@
         m_byPool.erase(found);
 }
 
-std::vector<const Resource*> Catalogue::listOfPool(Kind kind, std::string_view pool) const
+std::vector<const Resource*> Catalogue::listByPool(Kind kind, std::string_view pool) const
 {
     std::vector<const Resource*> out;
     const auto found = m_byPool.find(Key { kind, std::string(pool) });
--- a/src/libresource/resource.cpp
+++ b/src/libresource/resource.cpp
@@ -33,12 +33,12 @@
     return out;
 }
 
-std::string specRow(const Resource& resource)
+std::string encodeSpecRow(const Resource& resource)
 {
     return json { { "generation", resource.generation }, { "spec", resource.spec } }.dump();
 }
 
-bool readSpecRow(std::string_view text, Resource& resource)
+bool decodeSpecRow(std::string_view text, Resource& resource)
 {
     const auto row = json::parse(text, nullptr, false);
     if (!row.is_object() || !row.contains("spec") || !row["spec"].is_object())
--- a/src/libresource/resource_test.cpp
+++ b/src/libresource/resource_test.cpp
@@ -60,6 +60,6 @@
         auto scanned = catalogue.list(Kind::Vm);
         std::erase_if(scanned,
             [&](const Resource* vm) { return vm->status.value("pool", vm->spec.value("pool", "")) != pool; });
-        RC_ASSERT(catalogue.listOfPool(Kind::Vm, pool) == scanned);
+        RC_ASSERT(catalogue.listByPool(Kind::Vm, pool) == scanned);
     }
 }
--- a/src/libresource/validate.cpp
+++ b/src/libresource/validate.cpp
@@ -270,8 +270,8 @@
     std::vector<FieldError> errors;
     if (!isName(name))
         errors.push_back({ "name", std::string(name), std::string(nameDescription) });
-    if (kind == Kind::Configuration && name != currentConfiguration)
-        errors.push_back({ "name", std::string(name), std::string(currentConfiguration) });
+    if (kind == Kind::Configuration && name != currentConfigurationName)
+        errors.push_back({ "name", std::string(name), std::string(currentConfigurationName) });
     validateFields(rulesFor(kind), "spec", spec, errors);
     if (kind == Kind::Configuration && spec.is_object() && spec.contains("policy")
         && spec["policy"].is_object())
--- a/src/libstore/mirror.cpp
+++ b/src/libstore/mirror.cpp
@@ -63,7 +63,7 @@
     return out;
 }
 
-bool Mirror::take(const RowSet& set)
+bool Mirror::applyIfNewer(const RowSet& set)
 {
     if (set.version <= m_version || (set.since > 0 && (!m_isComplete || set.since > m_version)))
         return false;
@@ -103,7 +103,7 @@
         m_hasTriedSnapshot = text || text.error().failure == PlatformFailure::NotFound;
         if (text) {
             const auto set = snapshot::decode(*text, m_settings.cluster);
-            const bool isApplied = set && take(*set);
+            const bool isApplied = set && applyIfNewer(*set);
             m_metrics.count(isApplied ? "damask_snapshot_reads_total{result=\"taken\"}"
                                       : "damask_snapshot_reads_total{result=\"refused\"}");
             if (!set)
@@ -124,7 +124,7 @@
             finishPoll(true);
             return;
         }
-        if (result.error().failure == PlatformFailure::HistoryGone) {
+        if (result.error().failure == PlatformFailure::HistoryTruncated) {
             readAll();
             return;
         }
--- a/src/libstore/mirror_test.cpp
+++ b/src/libstore/mirror_test.cpp
@@ -72,7 +72,7 @@
         MirrorFixture writer(platform);
         writer.start();
         SnapshotWriter snapshotWriter(platform, writer.mirror, writer.clock, writer.metrics, "c", 1min);
-        snapshotWriter.consider(true);
+        snapshotWriter.writeIfDue(true);
         writer.answerAll();
         text = platform.objects.at("snapshot");
         platform.fullReads = 0;
@@ -117,14 +117,14 @@
             earlierSets.push_back(ahead.mirror.rowsSince(step / 8U));
             break;
         case 4:
-            behind.mirror.take(ahead.mirror.rowsSince(behind.mirror.version()));
+            behind.mirror.applyIfNewer(ahead.mirror.rowsSince(behind.mirror.version()));
             break;
         case 5:
-            behind.mirror.take(lagging.mirror.rowsSince(0));
+            behind.mirror.applyIfNewer(lagging.mirror.rowsSince(0));
             break;
         case 6:
             if (!earlierSets.empty())
-                behind.mirror.take(earlierSets[step % earlierSets.size()]);
+                behind.mirror.applyIfNewer(earlierSets[step % earlierSets.size()]);
             break;
         default:
             behind.poll();
@@ -144,7 +144,7 @@
     put(platform, "f/a", "new");
     MirrorFixture fixture(platform);
     fixture.start();
-    BOOST_TEST(!fixture.mirror.take(lagging.mirror.rowsSince(0)));
+    BOOST_TEST(!fixture.mirror.applyIfNewer(lagging.mirror.rowsSince(0)));
     BOOST_TEST(fixture.mirror.find("f/a")->value == "new");
 }
 
@@ -153,7 +153,7 @@
     FakePlatform platform;
     MirrorFixture fixture(platform);
     fixture.start();
-    BOOST_TEST(!fixture.mirror.take({ 5, 6, { { "f/a", 6, "x" } } }));
+    BOOST_TEST(!fixture.mirror.applyIfNewer({ 5, 6, { { "f/a", 6, "x" } } }));
 }
 
 BOOST_FIXTURE_TEST_CASE(startFromSnapshotAvoidsFullTableRead, SnapshotFixture)
@@ -175,7 +175,7 @@
     for (int second = 0; second < 600; ++second) {
         put(platform, "f/x", std::to_string(second));
         writer.poll();
-        snapshotWriter.consider(second < 300);
+        snapshotWriter.writeIfDue(second < 300);
         writer.answerAll();
         writer.clock.advance(1s);
     }
--- a/src/libstore/snapshot.cpp
+++ b/src/libstore/snapshot.cpp
@@ -87,11 +87,11 @@
 {
 }
 
-void SnapshotWriter::consider(bool isWriter)
+void SnapshotWriter::writeIfDue(bool isWriter)
 {
     const auto now = m_clock.now();
     const bool isDue = m_lastAttempt == TimePoint {} || now - m_lastAttempt >= m_period;
-    if (!isWriter || !isDue || m_mirror.isCutOff() || m_mirror.version() <= m_writtenVersion)
+    if (!isWriter || !isDue || m_mirror.isTableUnreachable() || m_mirror.version() <= m_writtenVersion)
         return;
     m_lastAttempt = now;
     const auto version = m_mirror.version();
--- a/src/move.controller/move_plan.cpp
+++ b/src/move.controller/move_plan.cpp
@@ -79,7 +79,7 @@
 SelectedPolicy selectPolicy(const Catalogue& catalogue)
 {
     json moveSettings = json::object();
-    const auto* configuration = catalogue.find(Kind::Configuration, currentConfiguration);
+    const auto* configuration = catalogue.find(Kind::Configuration, currentConfigurationName);
     if (configuration)
         moveSettings = configuration->spec.value("policy", json::object()).value("move", json::object());
     if (!moveSettings.is_object())
--- a/src/move.controller/move_plan_test.cpp
+++ b/src/move.controller/move_plan_test.cpp
@@ -30,7 +30,7 @@
     {
         Resource resource { kind, name };
         resource.spec = spec;
-        catalogue.apply({ resource::specKey(kind, name), ++tableVersion, resource::specRow(resource) });
+        catalogue.apply({ resource::specKey(kind, name), ++tableVersion, resource::encodeSpecRow(resource) });
     }
 
     void addVm(const std::string& name, const std::string& pool)
--- a/src/pool.controller/fleet_model.cpp
+++ b/src/pool.controller/fleet_model.cpp
@@ -48,7 +48,7 @@
         m_budgetHistory[resource.spec.at("pool")].emplace_back(m_now, resource.spec.at("maxUnavailable"));
     m_table.commit({ {},
         { { resource::specKey(kind, name),
-            spec ? std::optional(resource::specRow(resource)) : std::nullopt } } });
+            spec ? std::optional(resource::encodeSpecRow(resource)) : std::nullopt } } });
 }
 
 json Model::status(Kind kind, const std::string& name) const
@@ -193,12 +193,12 @@
 
 void Model::updateLeases(Node& node)
 {
-    lease::Surroundings cluster { {}, m_members, node.lastContact, false };
+    lease::ClusterView cluster { {}, m_members, node.lastContact, false };
     for (const auto& key : Registry<controller::Definition>::instance().find("pool")->keys(node.catalogue))
         cluster.keys.push_back("pool/" + key);
-    for (const auto& attempt : lease::decide(node.leases, leaseSettings(), cluster, m_now))
+    for (const auto& attempt : lease::planAttempts(node.leases, leaseSettings(), cluster, m_now))
         commit(node, attempt.transaction, [this, &node, attempt](const PlatformResult<TableVersion>& result) {
-            lease::finish(node.leases, attempt, result, m_now);
+            lease::applyResult(node.leases, attempt, result, m_now);
         });
 }
 
@@ -206,7 +206,8 @@
 {
     auto& keyState = node.keyStates[key];
     const auto& lease = node.leases.leases[key];
-    if (keyState.pendingActions > 0 || std::max(keyState.committedVersion, lease.fence) > node.resourceVersion
+    if (keyState.pendingActions > 0
+        || std::max(keyState.committedVersion, lease.fenceVersion) > node.resourceVersion
         || !lease::mayAct(node.leases, leaseSettings(), key, node.lastContact, m_now))
         return;
     if (std::exchange(keyState.epoch, lease.content.epoch) != lease.content.epoch)
--- a/src/pool.controller/pool_controller.cpp
+++ b/src/pool.controller/pool_controller.cpp
@@ -20,13 +20,13 @@
     const controller::View& view, std::string_view key, std::any& plannerState)
 {
     if (!plannerState.has_value())
-        plannerState = maintenance::Watches {};
+        plannerState = maintenance::VmTrackers {};
     std::vector<controller::Action> actions;
     if (!view.catalogue.find(Kind::Pool, key))
         return actions;
     const auto before = pool_rows::readPool(view, key);
     auto after = before;
-    const auto result = maintenance::step(after, *std::any_cast<maintenance::Watches>(&plannerState),
+    const auto result = maintenance::step(after, *std::any_cast<maintenance::VmTrackers>(&plannerState),
         pool_rows::readSettings(view.catalogue), view.now);
     for (const auto& command : result.commands)
         actions.emplace_back(controller::CommandVm { command.vm, command.command });
--- a/src/pool.controller/pool_rows.cpp
+++ b/src/pool.controller/pool_rows.cpp
@@ -75,7 +75,7 @@
 
 std::vector<const Resource*> budgetsOf(const Catalogue& catalogue, std::string_view pool)
 {
-    return catalogue.listOfPool(Kind::Budget, pool);
+    return catalogue.listByPool(Kind::Budget, pool);
 }
 
 void setOrErase(json& object, const char* field, const json& value, bool isSet)
@@ -145,9 +145,9 @@
     const auto& catalogue = view.catalogue;
     for (const auto* resource : catalogue.list(Kind::Pool))
         pool.pools.insert(resource->name);
-    for (const auto* resource : catalogue.listOfPool(Kind::Vm, name))
+    for (const auto* resource : catalogue.listByPool(Kind::Vm, name))
         pool.vms.push_back(readVm(view, *resource));
-    for (const auto* resource : catalogue.listOfPool(Kind::Wave, name))
+    for (const auto* resource : catalogue.listByPool(Kind::Wave, name))
         pool.waves.push_back(readWave(*resource));
     if (const auto* resource = catalogue.find(Kind::Pool, name)) {
         pool.disruptions = readDisruptions(resource->status);
@@ -164,7 +164,7 @@
 maintenance::Settings readSettings(const Catalogue& catalogue)
 {
     maintenance::Settings out;
-    const auto* configuration = catalogue.find(Kind::Configuration, currentConfiguration);
+    const auto* configuration = catalogue.find(Kind::Configuration, currentConfigurationName);
     if (!configuration)
         return out;
     const auto policy
@@ -199,7 +199,7 @@
         const auto* resource = catalogue.find(Kind::Wave, wave.name);
         if (wave != before.waves[i] || catalogue.statusVersion(Kind::Wave, wave.name) == 0)
             addStatus(out, catalogue, *resource, waveStatus(resource->status, wave));
-        else if (result.wavesUsed.contains(wave.name))
+        else if (result.wavesWithNewPermits.contains(wave.name))
             addSpecCondition(out, *resource);
     }
     const auto* pool = catalogue.find(Kind::Pool, after.name);
--- a/testsuite/config/model_test.cpp
+++ b/testsuite/config/model_test.cpp
@@ -116,7 +116,7 @@
         damask::membership::observe(node.membership, heard, clock.now());
         if (heard.tableVersion <= node.mirror.version())
             return;
-        if (node.mirror.isCutOff())
+        if (node.mirror.isTableUnreachable())
             node.inbox.push_back(sender.mirror.rowsSince(node.mirror.version()));
         else
             node.mirror.pollNow();
@@ -130,7 +130,7 @@
         const auto at = node.inbox.begin() + static_cast<std::ptrdiff_t>(index % node.inbox.size());
         const auto rows = *at;
         node.inbox.erase(at);
-        node.mirror.take(rows);
+        node.mirror.applyIfNewer(rows);
     }
 
     void step(std::uint8_t byte)
--- a/testsuite/demo/callers.cpp
+++ b/testsuite/demo/callers.cpp
@@ -47,7 +47,7 @@
     auto& seen = m_seen[service];
     if (!result) {
         // A connection that was refused ran nothing; anything else is a request that was cut.
-        result.error().bytesSent ? ++seen.cut : ++seen.notRun;
+        result.error().mayHaveBeenSent ? ++seen.cut : ++seen.notRun;
         return;
     }
     const std::string outcome(http::header(result->headers, "Damask-Outcome").value_or(""));
--- a/testsuite/harness/fleet.cpp
+++ b/testsuite/harness/fleet.cpp
@@ -22,7 +22,7 @@
 } // namespace
 
 Fleet::Fleet(std::chrono::milliseconds listLag)
-    : m_client(m_loop.base(), HttpLimits { .bodyBytes = 64 << 20 })
+    : m_client(m_loop.base(), HttpLimits { .maxBodyBytes = 64 << 20 })
     , m_platform(std::make_unique<Process>(
           std::vector<std::string> { binary("standin_platform"), std::to_string(listLag.count()) }))
 {
--- a/testsuite/requests/stop_test.cpp
+++ b/testsuite/requests/stop_test.cpp
@@ -63,8 +63,8 @@
     {
         auto& told = m_told[id];
         if (!result) {
-            told.broken += result.error().bytesSent;
-            told.notRun += !result.error().bytesSent;
+            told.broken += result.error().mayHaveBeenSent;
+            told.notRun += !result.error().mayHaveBeenSent;
             return;
         }
         const auto outcome = outcomeOf(*result);
--- a/testsuite/soak/soak.cpp
+++ b/testsuite/soak/soak.cpp
@@ -200,7 +200,7 @@
                 return;
             }
             const bool refused
-                = result ? result->status == 503 || result->status == 429 : !result.error().bytesSent;
+                = result ? result->status == 503 || result->status == 429 : !result.error().mayHaveBeenSent;
             const bool unknown = mayBeKnown || !refused;
             // A caller that can't know asks until it does.
             if (attempt < submitAttempts || unknown)
--- a/testsuite/standins/fake_platform.h
+++ b/testsuite/standins/fake_platform.h
@@ -112,20 +112,23 @@
             std::move(callback));
     }
     void listVms(PlatformCallback<std::vector<ListedVm>> callback) override { none(std::move(callback)); }
-    void commandVm(std::string_view, VmCommand, PlatformCallback<bool> callback) override
+    void sendVmCommand(std::string_view, VmCommand, PlatformCallback<bool> callback) override
     {
         none(std::move(callback));
     }
-    void reportVms(PlatformCallback<std::vector<VmReport>> callback) override { none(std::move(callback)); }
-    void commandTask(const TaskRequest&, PlatformCallback<bool> callback) override
+    void readVmReports(PlatformCallback<std::vector<VmReport>> callback) override
     {
         none(std::move(callback));
     }
-    void reportTasks(PlatformCallback<std::vector<TaskReport>> callback) override
+    void sendTaskCommand(const TaskRequest&, PlatformCallback<bool> callback) override
     {
         none(std::move(callback));
     }
-    void announceEntry(std::string_view, bool, PlatformCallback<bool> callback) override
+    void readTaskReports(PlatformCallback<std::vector<TaskReport>> callback) override
+    {
+        none(std::move(callback));
+    }
+    void setAcceptingConnections(std::string_view, bool, PlatformCallback<bool> callback) override
     {
         none(std::move(callback));
     }
