--- a/testsuite/demo/callers.cpp
+++ b/testsuite/demo/callers.cpp
@@ -75,7 +75,7 @@
 std::vector<std::string> Callers::mismatches()
 {
     std::vector<std::string> out;
-    auto runs = m_fleet.runsById();
+    auto runs = m_fleet.runCountsById();
     for (const auto& [id, told] : m_told) {
         const int ran = runs[id];
         if (ran > 1)
--- a/testsuite/harness/fleet.cpp
+++ b/testsuite/harness/fleet.cpp
@@ -9,24 +9,24 @@
 using nlohmann::json;
 using namespace std::chrono_literals;
 
-constexpr std::chrono::milliseconds conditionPeriod { 20 };
+constexpr std::chrono::milliseconds conditionPollInterval { 20 };
 constexpr std::size_t vmsPerRack = 4;
 
-Address local(const std::string& port)
+Address loopbackAddress(const std::string& port)
 {
     if (port.empty())
-        throw std::runtime_error("a process of the fleet did not start");
+        throw std::runtime_error("a fleet process exited before it logged its listening port");
     return { "127.0.0.1", static_cast<std::uint16_t>(std::stoi(port)) };
 }
 
 } // namespace
 
-Fleet::Fleet(std::chrono::milliseconds listLag)
+Fleet::Fleet(std::chrono::milliseconds vmListDelay)
     : m_client(m_loop.base(), HttpLimits { .bodyBytes = 64 << 20 })
     , m_platform(std::make_unique<Process>(
-          std::vector<std::string> { binary("standin_platform"), std::to_string(listLag.count()) }))
+          std::vector<std::string> { binary("standin_platform"), std::to_string(vmListDelay.count()) }))
 {
-    m_platformAddress = local(Process::field(m_platform->waitForEvent("listening"), "port"));
+    m_platformAddress = loopbackAddress(Process::field(m_platform->waitForEvent("listening"), "port"));
 }
 
 Fleet::~Fleet() = default;
@@ -40,9 +40,9 @@
     arguments.insert(arguments.end(), flags.begin(), flags.end());
     DaemonHandle handle { node, dataCentre, std::make_unique<Process>(arguments), {}, {}, {} };
     const auto line = handle.process->waitForEvent("listening");
-    handle.callers = local(Process::field(line, "caller_port"));
-    handle.admin = local(Process::field(line, "admin_port"));
-    handle.peers = local(Process::field(line, "peer_port"));
+    handle.callers = loopbackAddress(Process::field(line, "caller_port"));
+    handle.admin = loopbackAddress(Process::field(line, "admin_port"));
+    handle.peers = loopbackAddress(Process::field(line, "peer_port"));
     m_daemons.erase(node);
     return m_daemons.emplace(node, std::move(handle)).first->second;
 }
@@ -57,25 +57,25 @@
     for (const auto& id : ids) {
         std::string port;
         std::getline(ports, port, ',');
-        m_endpoints[id]
-            = { id, dataCentre, dataCentre + "-r" + std::to_string(index++ / vmsPerRack), local(port) };
+        m_endpoints[id] = { id, dataCentre, dataCentre + "-r" + std::to_string(index++ / vmsPerRack),
+            loopbackAddress(port) };
     }
 }
 
-void Fleet::publishList(const std::vector<std::string>& without)
+void Fleet::publishList(const std::vector<std::string>& excludedIds)
 {
     json items = json::array();
-    auto isLeftOut = [&](const std::string& id) {
-        return std::find(without.begin(), without.end(), id) != without.end();
+    auto isExcluded = [&](const std::string& id) {
+        return std::find(excludedIds.begin(), excludedIds.end(), id) != excludedIds.end();
     };
     for (const auto& [node, handle] : m_daemons) {
-        if (!isLeftOut(node))
+        if (!isExcluded(node))
             items.push_back({ { "id", node }, { "role", "entry" }, { "state", "live" },
                 { "dataCentre", handle.dataCentre }, { "address", http::toString(handle.peers) },
                 { "incarnation", 1 } });
     }
     for (const auto& [id, handle] : m_endpoints) {
-        if (!isLeftOut(id))
+        if (!isExcluded(id))
             items.push_back({ { "id", id }, { "role", "worker" }, { "state", "live" },
                 { "dataCentre", handle.dataCentre }, { "rack", handle.rack },
                 { "address", http::toString(handle.address) }, { "incarnation", 1 } });
@@ -89,16 +89,16 @@
     m_client.send(address, request, timeout, [&](HttpResult result) { answer = std::move(result); });
     m_loop.runUntil([&] { return answer.has_value(); }, timeout + 5s);
     if (!answer)
-        throw std::runtime_error("the client gave no result for " + request.path);
+        throw std::runtime_error("the HTTP client returned no result for " + request.path);
     return *answer;
 }
 
 std::pair<int, json> Fleet::callJson(
     const Address& address, const std::string& method, const std::string& path, const json& body)
 {
-    const auto question = path.find('?');
-    HttpRequest request { method, path.substr(0, question),
-        question == std::string::npos ? "" : path.substr(question + 1), {},
+    const auto queryStart = path.find('?');
+    HttpRequest request { method, path.substr(0, queryStart),
+        queryStart == std::string::npos ? "" : path.substr(queryStart + 1), {},
         body.is_null() ? "" : body.dump() };
     auto result = call(address, request);
     if (!result)
@@ -110,9 +110,9 @@
 {
     auto [status, body] = callJson(admin, "POST", "/v1/" + plural, { { "name", name }, { "spec", spec } });
     if (status != 201)
-        throw std::runtime_error(
-            "creating " + plural + "/" + name + " gave " + std::to_string(status) + ": " + body.dump());
-    // The node that answered may not have read its own write back yet.
+        throw std::runtime_error("creating " + plural + "/" + name + " returned status "
+            + std::to_string(status) + ": " + body.dump());
+    // The node may answer before its own copy of the table contains the write.
     eventually([&, path = "/v1/" + plural] {
         const auto items = callJson(admin, "GET", path).second.value("items", json::array());
         return std::any_of(
@@ -135,11 +135,11 @@
 
 bool Fleet::eventually(const std::function<bool()>& condition, std::chrono::milliseconds limit)
 {
-    const auto end = std::chrono::steady_clock::now() + limit;
+    const auto deadline = std::chrono::steady_clock::now() + limit;
     while (!condition()) {
-        if (std::chrono::steady_clock::now() >= end)
+        if (std::chrono::steady_clock::now() >= deadline)
             return false;
-        m_loop.runUntil([] { return false; }, conditionPeriod);
+        m_loop.runUntil([] { return false; }, conditionPollInterval);
     }
     return true;
 }
@@ -149,7 +149,7 @@
     callJson(m_platformAddress, "POST", "/admin/faults", faults);
 }
 
-std::map<std::string, int> Fleet::runsById()
+std::map<std::string, int> Fleet::runCountsById()
 {
     std::map<std::string, int> runs;
     for (const auto& [id, endpoint] : m_endpoints) {
--- a/testsuite/harness/fleet.h
+++ b/testsuite/harness/fleet.h
@@ -1,5 +1,5 @@
 /// \file
-/// A small fleet of real processes for system tests: the platform stand-in, endpoint stand-ins and
+/// Starts a small fleet of real processes for system tests: the platform stand-in, endpoint stand-ins and
 /// daemons in several data centres.
 #pragma once
 
@@ -36,19 +36,21 @@
     Address address;
 };
 
-/// Starts and drives the processes; every wait is for a condition with a limit.
+/// Starts and controls the processes of a fleet. Waits for responses and conditions have a timeout.
 class Fleet {
 public:
-    explicit Fleet(std::chrono::milliseconds listLag = std::chrono::milliseconds(100));
+    /// Starts the platform stand-in, which shows a published VM list after \p vmListDelay.
+    explicit Fleet(std::chrono::milliseconds vmListDelay = std::chrono::milliseconds(100));
     ~Fleet();
 
-    /// Starts a daemon; \p flags are added to its command line.
+    /// Starts a daemon with \p flags appended to its command line and waits until it listens.
     DaemonHandle& startDaemon(
         const std::string& node, const std::string& dataCentre, const std::vector<std::string>& flags = {});
-    /// Starts one process with the named endpoints in \p dataCentre, four to a rack.
+    /// Starts one process that serves the named endpoints in \p dataCentre, four per rack.
     void startEndpoints(const std::string& dataCentre, const std::vector<std::string>& ids);
-    /// Writes the platform's list of VMs from what has been started, less \p without.
-    void publishList(const std::vector<std::string>& without = {});
+    /// Publishes the started daemons and endpoints, except those in \p excludedIds, as the platform's VM
+    /// list.
+    void publishList(const std::vector<std::string>& excludedIds = {});
 
     DaemonHandle& daemon(const std::string& node) { return m_daemons.at(node); }
     const EndpointHandle& endpoint(const std::string& id) const { return m_endpoints.at(id); }
@@ -56,26 +58,26 @@
     Loop& loop() { return m_loop; }
     HttpClient& client() { return m_client; }
 
-    /// Sends a request and waits for its answer.
+    /// Sends a request and waits for the response; throws if the client reports no result.
     HttpResult call(const Address& address, const HttpRequest& request,
         std::chrono::milliseconds timeout = std::chrono::seconds(10));
-    /// Sends JSON and returns the status and the JSON answer (null if there is none).
+    /// Sends JSON and returns the status and the JSON response body (0 and null if the request failed).
     std::pair<int, nlohmann::json> callJson(const Address& address, const std::string& method,
         const std::string& path, const nlohmann::json& body = nullptr);
-    /// Creates a resource; fails the test if that is refused.
+    /// Creates a resource and waits until the API lists it; throws if the API refuses it.
     nlohmann::json create(
         const Address& admin, const std::string& plural, const std::string& name, const nlohmann::json& spec);
     /// Declares a pool and its VMs.
     void declarePool(const Address& admin, const std::string& pool, const std::vector<std::string>& vms,
         const nlohmann::json& spec = nlohmann::json::object());
-    /// Repeats \p condition on a short period until it holds or \p limit has passed.
+    /// Polls \p condition until it holds or \p limit has passed; returns whether it held.
     bool eventually(
         const std::function<bool()>& condition, std::chrono::milliseconds limit = std::chrono::seconds(20));
-    /// Switches faults of the platform stand-in on; an empty object clears them.
+    /// Replaces the injected faults of the platform stand-in; an empty object clears them.
     void setPlatformFaults(const nlohmann::json& faults);
-    /// What the endpoints ran, by request id.
-    std::map<std::string, int> runsById();
-    /// What one endpoint ran.
+    /// Number of times that the endpoints ran each request or task, by id.
+    std::map<std::string, int> runCountsById();
+    /// Requests and tasks that one endpoint ran, in order.
     nlohmann::json runsOf(const std::string& endpoint);
 
 private:
--- a/testsuite/harness/process.cpp
+++ b/testsuite/harness/process.cpp
@@ -11,26 +11,26 @@
 namespace damask::harness {
 namespace {
 
-struct Spawned {
+struct ChildProcess {
     pid_t pid = -1;
     int output = -1;
 };
 
-Spawned spawn(const std::vector<std::string>& arguments, const std::vector<std::string>& environment,
-    bool withErrors, const std::string& log = "")
+ChildProcess spawn(const std::vector<std::string>& arguments, const std::vector<std::string>& environment,
+    bool captureStderr, const std::string& log = "")
 {
-    int ends[2];
-    if (pipe2(ends, O_CLOEXEC) != 0)
+    int pipeEnds[2];
+    if (pipe2(pipeEnds, O_CLOEXEC) != 0)
         return {};
     posix_spawn_file_actions_t actions;
     posix_spawn_file_actions_init(&actions);
     if (log.empty())
-        posix_spawn_file_actions_adddup2(&actions, ends[1], STDOUT_FILENO);
+        posix_spawn_file_actions_adddup2(&actions, pipeEnds[1], STDOUT_FILENO);
     else
         posix_spawn_file_actions_addopen(
             &actions, STDOUT_FILENO, log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
-    if (withErrors)
-        posix_spawn_file_actions_adddup2(&actions, ends[1], STDERR_FILENO);
+    if (captureStderr)
+        posix_spawn_file_actions_adddup2(&actions, pipeEnds[1], STDERR_FILENO);
     std::vector<char*> argv;
     for (const auto& argument : arguments)
         argv.push_back(const_cast<char*>(argument.c_str()));
@@ -41,13 +41,13 @@
     for (const auto& variable : environment)
         env.push_back(const_cast<char*>(variable.c_str()));
     env.push_back(nullptr);
-    Spawned out;
-    if (posix_spawn(&out.pid, argv[0], &actions, nullptr, argv.data(), env.data()) != 0)
-        out.pid = -1;
+    ChildProcess child;
+    if (posix_spawn(&child.pid, argv[0], &actions, nullptr, argv.data(), env.data()) != 0)
+        child.pid = -1;
     posix_spawn_file_actions_destroy(&actions);
-    close(ends[1]);
-    out.output = ends[0];
-    return out;
+    close(pipeEnds[1]);
+    child.output = pipeEnds[0];
+    return child;
 }
 
 int exitCodeOf(int status) { return WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status); }
@@ -91,13 +91,13 @@
 
 std::string Process::waitForEvent(const std::string& event)
 {
-    const std::string wanted = "event=" + event + " ";
+    const std::string pattern = "event=" + event + " ";
     for (;;) {
         const auto end = m_buffer.find('\n');
         if (end != std::string::npos) {
             auto line = m_buffer.substr(0, end);
             m_buffer.erase(0, end + 1);
-            if ((line + " ").find(wanted) != std::string::npos)
+            if ((line + " ").find(pattern) != std::string::npos)
                 return line;
             continue;
         }
--- a/testsuite/harness/process.h
+++ b/testsuite/harness/process.h
@@ -1,5 +1,5 @@
 /// \file
-/// A child process of a test, ended with the test.
+/// Child processes of tests.
 #pragma once
 
 #include <chrono>
@@ -10,37 +10,39 @@
 
 namespace damask::harness {
 
-/// Result of a command that ran to its end.
+/// Result of a completed command.
 struct CommandResult {
     int exitCode = -1;
-    std::string output;
+    std::string output; ///< standard output and standard error
 };
 
-/// Path of a binary of this build.
+/// Path of a binary in the build's bin folder.
 std::string binary(const std::string& name);
-/// Runs a command to its end and collects what it prints.
+/// Runs a command until it exits and collects its output. \p environment adds NAME=value variables.
 CommandResult runCommand(
     const std::vector<std::string>& arguments, const std::vector<std::string>& environment = {});
 
-/// A running child process whose standard output is read line by line.
+/// A child process whose standard output is read line by line. The destructor kills the process.
 class Process {
 public:
-    /// With \p log, standard output is appended to that file and can't be read here.
+    /// With \p log, the process appends its standard output to that file, and this object cannot read it.
     explicit Process(const std::vector<std::string>& arguments, const std::string& log = "");
     ~Process();
     Process(const Process&) = delete;
     Process& operator=(const Process&) = delete;
 
-    /// Waits for the line with `event=<event>` and returns it; empty if the process ended first.
+    /// Reads up to the next line with `event=<event>` and returns that line; empty if the process exits
+    /// first.
     std::string waitForEvent(const std::string& event);
-    /// Value of `key=` in a log line.
+    /// Value of `key=` in a log line; empty if the line has no such key.
     static std::string field(const std::string& line, const std::string& key);
     void signal(int number) const;
-    /// Waits for the end and returns the exit code, or 128 + the signal.
+    /// Waits for the process to exit and returns its exit code, or 128 + the signal number.
     int wait();
-    /// Whether the process has ended.
+    /// Whether the process has exited.
     bool hasEnded();
-    /// What it printed after the last line that was waited for, up to its end.
+    /// Reads until the process closes its output; returns everything after the last line read by
+    /// waitForEvent().
     std::string remainingOutput();
     pid_t pid() const { return m_pid; }
 
--- a/testsuite/harness/raw_endpoint.cpp
+++ b/testsuite/harness/raw_endpoint.cpp
@@ -11,7 +11,7 @@
 namespace damask::harness {
 namespace {
 
-sockaddr_in loopback(const Address& address)
+sockaddr_in toSockaddr(const Address& address)
 {
     sockaddr_in out {};
     out.sin_family = AF_INET;
@@ -20,7 +20,7 @@
     return out;
 }
 
-std::string takeInput(bufferevent* bev)
+std::string readInput(bufferevent* bev)
 {
     auto* input = bufferevent_get_input(bev);
     std::string bytes(evbuffer_get_length(input), '\0');
@@ -28,20 +28,20 @@
     return bytes;
 }
 
-/// Takes the first whole request off \p text.
-std::optional<std::string> takeRequest(std::string& text)
+/// Removes the first complete request from \p input and returns it; nothing if it is incomplete.
+std::optional<std::string> extractRequest(std::string& input)
 {
-    const auto headerEnd = text.find("\r\n\r\n");
+    const auto headerEnd = input.find("\r\n\r\n");
     if (headerEnd == std::string::npos)
         return std::nullopt;
     std::size_t length = headerEnd + 4;
-    const auto field = text.find("Content-Length: ");
+    const auto field = input.find("Content-Length: ");
     if (field < headerEnd)
-        length += std::stoul(text.substr(field + 16));
-    if (text.size() < length)
+        length += std::stoul(input.substr(field + 16));
+    if (input.size() < length)
         return std::nullopt;
-    auto request = text.substr(0, length);
-    text.erase(0, length);
+    auto request = input.substr(0, length);
+    input.erase(0, length);
     return request;
 }
 
@@ -56,11 +56,11 @@
             , m_index(index)
         {
             bufferevent_setcb(m_bev, onRead, onWritten, onEvent, this);
-            bufferevent_enable(m_bev, owner.deaf ? EV_WRITE : EV_READ | EV_WRITE);
-            if (owner.deaf)
+            bufferevent_enable(m_bev, owner.isReadingDisabled ? EV_WRITE : EV_READ | EV_WRITE);
+            if (owner.isReadingDisabled)
                 bufferevent_disable(m_bev, EV_READ);
         }
-        ~Connection() override { drop(); }
+        ~Connection() override { closeNow(); }
 
         void send(const std::string& bytes) override
         {
@@ -72,12 +72,12 @@
         {
             m_closing = true;
             if (m_bev && evbuffer_get_length(bufferevent_get_output(m_bev)) == 0)
-                drop();
+                closeNow();
         }
 
         int index() const override { return m_index; }
 
-        void drop()
+        void closeNow()
         {
             if (m_bev)
                 bufferevent_free(m_bev);
@@ -88,10 +88,10 @@
         static void onRead(bufferevent* bev, void* argument)
         {
             auto self = static_cast<Connection*>(argument)->shared_from_this();
-            self->m_text += takeInput(bev);
-            while (auto request = takeRequest(self->m_text)) {
+            self->m_input += readInput(bev);
+            while (auto request = extractRequest(self->m_input)) {
                 self->m_owner.requests.push_back(*request);
-                self->m_owner.script(self, *request);
+                self->m_owner.handler(self, *request);
             }
         }
 
@@ -99,35 +99,35 @@
         {
             auto* self = static_cast<Connection*>(argument);
             if (self->m_closing)
-                self->drop();
+                self->closeNow();
         }
 
         static void onEvent(bufferevent*, short events, void* argument)
         {
             if (events & (BEV_EVENT_EOF | BEV_EVENT_ERROR))
-                static_cast<Connection*>(argument)->drop();
+                static_cast<Connection*>(argument)->closeNow();
         }
 
         Impl& m_owner;
         bufferevent* m_bev;
         int m_index;
-        std::string m_text;
+        std::string m_input;
         bool m_closing = false;
     };
 
     event_base* base;
-    Script script;
+    RequestHandler handler;
     evconnlistener* listener = nullptr;
     Address address { "127.0.0.1", 0 };
     std::vector<std::shared_ptr<Connection>> connections;
     std::vector<std::string> requests;
-    bool deaf = false;
+    bool isReadingDisabled = false;
 };
 
-RawEndpoint::RawEndpoint(event_base* base, Script script)
-    : m_impl(new Impl { base, std::move(script) })
+RawEndpoint::RawEndpoint(event_base* base, RequestHandler handler)
+    : m_impl(new Impl { base, std::move(handler) })
 {
-    auto target = loopback(m_impl->address);
+    auto socketAddress = toSockaddr(m_impl->address);
     const auto onAccept = [](evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* argument) {
         auto& impl = *static_cast<Impl*>(argument);
         const auto index = static_cast<int>(impl.connections.size());
@@ -135,12 +135,13 @@
     };
     m_impl->listener = evconnlistener_new_bind(base, onAccept, m_impl.get(),
         LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE, -1,
-        reinterpret_cast<sockaddr*>(&target), sizeof(target));
+        reinterpret_cast<sockaddr*>(&socketAddress), sizeof(socketAddress));
     if (!m_impl->listener)
-        throw std::runtime_error("the raw endpoint cannot listen");
-    socklen_t length = sizeof(target);
-    getsockname(evconnlistener_get_fd(m_impl->listener), reinterpret_cast<sockaddr*>(&target), &length);
-    m_impl->address.port = ntohs(target.sin_port);
+        throw std::runtime_error("RawEndpoint cannot listen on 127.0.0.1");
+    socklen_t length = sizeof(socketAddress);
+    getsockname(
+        evconnlistener_get_fd(m_impl->listener), reinterpret_cast<sockaddr*>(&socketAddress), &length);
+    m_impl->address.port = ntohs(socketAddress.sin_port);
 }
 
 RawEndpoint::~RawEndpoint() { evconnlistener_free(m_impl->listener); }
@@ -154,16 +155,19 @@
 void RawEndpoint::closeAll()
 {
     for (const auto& connection : m_impl->connections)
-        connection->drop();
+        connection->closeNow();
 }
 
-void RawEndpoint::setDeaf(bool deaf) { m_impl->deaf = deaf; }
+void RawEndpoint::setReadingDisabled(bool isReadingDisabled)
+{
+    m_impl->isReadingDisabled = isReadingDisabled;
+}
 
 struct RawCaller::Impl {
     bufferevent* bev = nullptr;
     std::string received;
-    bool closed = false;
-    bool reset = false;
+    bool isConnectionClosed = false;
+    bool isConnectionReset = false;
 };
 
 RawCaller::RawCaller(event_base* base, const Address& address)
@@ -171,16 +175,17 @@
 {
     m_impl->bev = bufferevent_socket_new(base, -1, BEV_OPT_CLOSE_ON_FREE);
     const auto onRead
-        = [](bufferevent* bev, void* argument) { static_cast<Impl*>(argument)->received += takeInput(bev); };
+        = [](bufferevent* bev, void* argument) { static_cast<Impl*>(argument)->received += readInput(bev); };
     const auto onEvent = [](bufferevent*, short events, void* argument) {
         auto& impl = *static_cast<Impl*>(argument);
-        impl.closed = impl.closed || (events & (BEV_EVENT_EOF | BEV_EVENT_ERROR));
-        impl.reset = impl.reset || (events & BEV_EVENT_ERROR);
+        impl.isConnectionClosed = impl.isConnectionClosed || (events & (BEV_EVENT_EOF | BEV_EVENT_ERROR));
+        impl.isConnectionReset = impl.isConnectionReset || (events & BEV_EVENT_ERROR);
     };
     bufferevent_setcb(m_impl->bev, onRead, nullptr, onEvent, m_impl.get());
     bufferevent_enable(m_impl->bev, EV_READ | EV_WRITE);
-    auto target = loopback(address);
-    bufferevent_socket_connect(m_impl->bev, reinterpret_cast<sockaddr*>(&target), sizeof(target));
+    auto socketAddress = toSockaddr(address);
+    bufferevent_socket_connect(
+        m_impl->bev, reinterpret_cast<sockaddr*>(&socketAddress), sizeof(socketAddress));
 }
 
 RawCaller::~RawCaller() { bufferevent_free(m_impl->bev); }
@@ -189,8 +194,8 @@
 
 const std::string& RawCaller::received() const { return m_impl->received; }
 
-bool RawCaller::isClosed() const { return m_impl->closed; }
+bool RawCaller::isClosed() const { return m_impl->isConnectionClosed; }
 
-bool RawCaller::wasReset() const { return m_impl->reset; }
+bool RawCaller::wasReset() const { return m_impl->isConnectionReset; }
 
 } // namespace damask::harness
--- a/testsuite/harness/raw_endpoint.h
+++ b/testsuite/harness/raw_endpoint.h
@@ -1,5 +1,5 @@
 /// \file
-/// An endpoint that answers with raw bytes, right or wrong, for tests of misbehaving endpoints.
+/// An endpoint and a caller that send raw bytes, valid HTTP or not, for tests of faulty peers.
 #pragma once
 
 #include <damaskworks/http.h>
@@ -17,33 +17,34 @@
 class RawConnection {
 public:
     virtual ~RawConnection() = default;
-    /// Sends \p bytes as they are.
+    /// Sends \p bytes unchanged.
     virtual void send(const std::string& bytes) = 0;
-    /// Closes the connection once everything has been sent.
+    /// Closes the connection once all pending bytes are written.
     virtual void close() = 0;
-    /// Number of the connection, from 0 in the order of acceptance.
+    /// Index of the connection, from 0 in the order of acceptance.
     virtual int index() const = 0;
 };
 
-/// Listens on a free port of the loop-back address and calls a script for each whole request (with
-/// a Content-Length body or none).
+/// Listens on a free port of the loopback address and calls a handler for each complete request. A request
+/// has a Content-Length body or no body.
 class RawEndpoint {
 public:
-    using Script = std::function<void(const std::shared_ptr<RawConnection>&, const std::string& request)>;
+    using RequestHandler
+        = std::function<void(const std::shared_ptr<RawConnection>&, const std::string& request)>;
 
-    RawEndpoint(event_base* base, Script script);
+    RawEndpoint(event_base* base, RequestHandler handler);
     ~RawEndpoint();
     RawEndpoint(const RawEndpoint&) = delete;
     RawEndpoint& operator=(const RawEndpoint&) = delete;
     Address address() const;
-    /// The requests received, in order.
+    /// The complete requests received, in order.
     const std::vector<std::string>& requests() const;
-    /// Number of connections accepted.
+    /// Number of accepted connections, closed ones included.
     int connections() const;
-    /// Closes all connections; new ones are accepted.
+    /// Closes all connections; the endpoint still accepts new ones.
     void closeAll();
-    /// Stops or starts to read from connections accepted from now on.
-    void setDeaf(bool deaf);
+    /// Sets whether connections accepted from now on are left unread.
+    void setReadingDisabled(bool isDisabled);
 
     struct Impl;
 
@@ -60,9 +61,9 @@
     RawCaller& operator=(const RawCaller&) = delete;
     void send(const std::string& bytes);
     const std::string& received() const;
-    /// Whether the other side has closed the connection.
+    /// Whether the connection has ended, by a close of the peer or by an error.
     bool isClosed() const;
-    /// Whether it was ended by a reset and not by an orderly close.
+    /// Whether the connection ended with an error, such as a reset.
     bool wasReset() const;
 
     struct Impl;
--- a/testsuite/path/path_test.cpp
+++ b/testsuite/path/path_test.cpp
@@ -59,7 +59,7 @@
         BOOST_TEST(std::string(*http::header(result->headers, "Damask-Outcome")) == "done");
         BOOST_TEST(json::parse(result->body)["id"] == node);
     }
-    for (const auto& [id, runs] : fleet.runsById())
+    for (const auto& [id, runs] : fleet.runCountsById())
         BOOST_TEST(runs == 1, id << " ran " << runs << " times");
 }
 
--- a/testsuite/requests/keys_test.cpp
+++ b/testsuite/requests/keys_test.cpp
@@ -33,7 +33,7 @@
         return answer;
     }
 
-    bool hasRun(const std::string& id) { return fleet.runsById().contains(id); }
+    bool hasRun(const std::string& id) { return fleet.runCountsById().contains(id); }
 
     int runsOfAll()
     {
@@ -128,7 +128,7 @@
         BOOST_TEST(fleet.eventually([&] { return (response = post("b", key, key)).status == 200; }));
         taken += response.status == 200;
     }
-    const auto runs = fleet.runsById();
+    const auto runs = fleet.runCountsById();
     for (int i = 0; i < 6; ++i)
         BOOST_TEST(runs.at("lost-" + std::to_string(i)) == 1);
     BOOST_TEST(taken == 6);
--- a/testsuite/requests/request_matrix_test.cpp
+++ b/testsuite/requests/request_matrix_test.cpp
@@ -123,7 +123,7 @@
         auto& fleet = edge.fleet;
         m_endpoint = std::make_unique<RawEndpoint>(fleet.loop().base(),
             [this](const auto& connection, const auto& request) { answer(connection, request); });
-        m_endpoint->setDeaf(cell.step == Step::Send);
+        m_endpoint->setReadingDisabled(cell.step == Step::Send);
         m_entry = fleet.startDaemon(m_node, "east", { "--platform_timeout_ms=300" }).callers;
         fleet.create(edge.admin(), "pools", m_pool, { { "slotsPerVm", 1 } });
         fleet.create(edge.admin(), "vms", "raw-" + m_pool,
--- a/testsuite/requests/stop_test.cpp
+++ b/testsuite/requests/stop_test.cpp
@@ -104,7 +104,7 @@
         BOOST_TEST(edge.fleet.daemon("a").process->wait() == 0);
         const auto history = edge.fleet.callJson(edge.fleet.platform(), "GET", "/admin/history").second;
         BOOST_TEST(history["announcements"].value("a", true) == false);
-        const auto runs = edge.fleet.runsById();
+        const auto runs = edge.fleet.runCountsById();
         int refused = 0;
         for (const auto& [id, told] : load.told()) {
             const int ran = runs.contains(id) ? runs.at(id) : 0;
--- a/testsuite/soak/checker.cpp
+++ b/testsuite/soak/checker.cpp
@@ -6,112 +6,114 @@
 namespace damask::soak {
 namespace {
 
-/// A task of a cancelled job may start this long after the cancellation was acknowledged; cancel_ms of
-/// the deployments.
-constexpr std::chrono::milliseconds cancelBound { 3000 };
+/// A task of a cancelled job may still start within this time after the acknowledgement of the
+/// cancellation. Equals cancel_ms of the deployments.
+constexpr std::chrono::milliseconds maxStartAfterCancel { 3000 };
 
 } // namespace
 
 void Checker::broken(const std::string& what)
 {
-    faults.push_back(what);
-    std::cout << "broken: " << what << std::endl;
+    violations.push_back(what);
+    std::cout << "violation: " << what << std::endl;
 }
 
 void Checker::checkStart(
-    const JobCheck& job, const std::string& vm, const std::string& pool, const TaskId& task)
+    const JobRecord& job, const std::string& vm, const std::string& pool, const TaskId& task)
 {
     const auto name = toString(task) + " on " + vm;
     if (pool != job.queue.pool)
-        broken(name + " runs in pool " + pool);
-    if (job.handed == Handed::Refused)
-        broken(name + " runs though its job was refused");
-    if (job.isCancelled() && std::chrono::steady_clock::now() - job.cancelledAt > cancelBound)
-        broken(name + " starts long after its job was cancelled");
-    for (const int before : job.spec.steps[static_cast<std::size_t>(task.step)].after) {
-        const int wanted = job.spec.steps[static_cast<std::size_t>(before)].count;
+        broken(name + " runs in the wrong pool " + pool);
+    if (job.submissionResult == SubmissionResult::Refused)
+        broken(name + " runs although its job was refused");
+    if (job.isCancelled() && std::chrono::steady_clock::now() - job.cancelledAt > maxStartAfterCancel)
+        broken(name + " starts too long after its job was cancelled");
+    for (const int dependency : job.spec.steps[static_cast<std::size_t>(task.step)].after) {
+        const int required = job.spec.steps[static_cast<std::size_t>(dependency)].count;
         const auto done = std::count_if(job.tasks.begin(), job.tasks.end(),
-            [&](const auto& entry) { return entry.first.step == before && entry.second.done; });
-        if (done < wanted)
-            broken(name + " starts before step " + std::to_string(before) + " is done");
+            [&](const auto& entry) { return entry.first.step == dependency && entry.second.isDone; });
+        if (done < required)
+            broken(name + " starts before step " + std::to_string(dependency) + " is done");
     }
 }
 
 void Checker::started(const std::string& vm, const std::string& pool, const TaskId& task, std::uint32_t run,
     const std::string& spec)
 {
-    ++runs;
+    ++runCount;
     const auto found = jobs.find(task.job);
     if (found == jobs.end() || spec != found->second.spec.spec)
-        return broken(toString(task) + " on " + vm + " was not asked for");
+        return broken(toString(task) + " on " + vm + " belongs to no submitted job or has another spec");
     auto& job = found->second;
-    ++job.starts;
+    ++job.startCount;
     checkStart(job, vm, pool, task);
-    auto& check = job.tasks[task];
-    if (!check.live.empty())
-        broken(toString(task) + " runs twice, run " + std::to_string(run) + " on " + vm);
-    if (check.doneNoted)
-        broken(toString(task) + " runs again after its end was recorded, on " + vm);
-    if (!job.lasts() && static_cast<int>(check.failedNoted.size()) >= job.queue.maxAttempts)
-        broken(toString(task) + " runs after all its attempts");
-    check.live.insert(run);
+    auto& record = job.tasks[task];
+    if (!record.activeRuns.empty())
+        broken(
+            toString(task) + " starts while another run is active, run " + std::to_string(run) + " on " + vm);
+    if (record.isDoneAcknowledged)
+        broken(toString(task) + " starts again after its completion was acknowledged, on " + vm);
+    if (!job.isLongRunning() && static_cast<int>(record.acknowledgedFailures.size()) >= job.queue.maxAttempts)
+        broken(toString(task) + " starts again after its last attempt");
+    record.activeRuns.insert(run);
 }
 
 void Checker::ended(const std::string&, const TaskId& task, std::uint32_t run, const std::string& how)
 {
-    auto& check = jobs[task.job].tasks[task];
-    check.live.erase(run);
-    check.done = check.done || how == "done";
+    auto& record = jobs[task.job].tasks[task];
+    record.activeRuns.erase(run);
+    record.isDone = record.isDone || how == "done";
 }
 
 void Checker::acknowledged(const TaskId& task, std::uint32_t run, const std::string& how)
 {
-    auto& check = jobs[task.job].tasks[task];
-    check.doneNoted = check.doneNoted || how == "done";
+    auto& record = jobs[task.job].tasks[task];
+    record.isDoneAcknowledged = record.isDoneAcknowledged || how == "done";
     if (how == "failed")
-        check.failedNoted.insert(run);
+        record.acknowledgedFailures.insert(run);
 }
 
-void Checker::refused(const std::string& id)
+void Checker::recordRefusal(const std::string& id)
 {
     auto& job = jobs.at(id);
-    job.handed = Handed::Refused;
-    if (job.starts > 0)
-        broken(id + " was refused though it runs");
+    job.submissionResult = SubmissionResult::Refused;
+    if (job.startCount > 0)
+        broken(id + " was refused although it has run");
 }
 
-void Checker::shown(const std::string& id, const std::string& state)
+void Checker::recordFinalState(const std::string& id, const std::string& state)
 {
     auto& job = jobs.at(id);
     job.finalState = state;
     if (state == "failed" && !job.alwaysFails)
-        broken(id + " is shown as failed");
-    if (state == "cancelled" && !job.cancelAsked)
-        broken(id + " is shown as cancelled");
+        broken(id + " is reported as failed, but its tasks do not fail");
+    if (state == "cancelled" && !job.isCancelRequested)
+        broken(id + " is reported as cancelled without a cancellation request");
     if (state != "completed")
         return;
-    std::size_t wanted = 0;
+    std::size_t required = 0;
     for (const auto& step : job.spec.steps)
-        wanted += static_cast<std::size_t>(step.count);
+        required += static_cast<std::size_t>(step.count);
     const auto done = std::count_if(
-        job.tasks.begin(), job.tasks.end(), [](const auto& entry) { return entry.second.done; });
-    if (static_cast<std::size_t>(done) < wanted)
-        broken(id + " is shown as completed with " + std::to_string(done) + " of " + std::to_string(wanted));
+        job.tasks.begin(), job.tasks.end(), [](const auto& entry) { return entry.second.isDone; });
+    if (static_cast<std::size_t>(done) < required)
+        broken(id + " is reported as completed with " + std::to_string(done) + " of "
+            + std::to_string(required) + " tasks done");
 }
 
-bool Checker::isSettled(const JobCheck& job) const
+bool Checker::isFinished(const JobRecord& job) const
 {
-    return job.handed == Handed::Refused || !job.finalState.empty();
+    return job.submissionResult == SubmissionResult::Refused || !job.finalState.empty();
 }
 
-int Checker::liveRuns() const
+int Checker::activeRunCount() const
 {
-    int live = 0;
+    int count = 0;
     for (const auto& [id, job] : jobs) {
-        for (const auto& [task, check] : job.tasks)
-            live += static_cast<int>(check.live.size());
+        for (const auto& [task, record] : job.tasks)
+            count += static_cast<int>(record.activeRuns.size());
     }
-    return live;
+    return count;
 }
 
 } // namespace damask::soak
--- a/testsuite/soak/checker.h
+++ b/testsuite/soak/checker.h
@@ -1,5 +1,5 @@
 /// \file
-/// What must hold for callers and VMs, whatever happens to the processes between them.
+/// Checks the guarantees that callers and VMs have, whatever faults occur in the processes between them.
 #pragma once
 
 #include "../../platform/standin/platform.h"
@@ -13,56 +13,56 @@
 
 using fleet::TaskId;
 
-/// How the handing in of a job ended, as its caller saw it.
-enum class Handed { Unknown, Accepted, Refused };
+/// Result of a submission, as its caller saw it.
+enum class SubmissionResult { Unknown, Accepted, Refused };
 
-/// A task as the VMs saw it.
-struct TaskCheck {
-    std::set<std::uint32_t> live;
-    bool done = false;
-    bool doneNoted = false;
-    std::set<std::uint32_t> failedNoted;
+/// Runs of a task, as the VMs reported them.
+struct TaskRecord {
+    std::set<std::uint32_t> activeRuns; ///< started and not ended
+    bool isDone = false; ///< a run has completed
+    bool isDoneAcknowledged = false; ///< the holder acknowledged a completed run as durable
+    std::set<std::uint32_t> acknowledgedFailures; ///< failed runs that the holder acknowledged
 };
 
-/// A job as its caller and the VMs saw it.
-struct JobCheck {
+/// A job, as its caller and the VMs saw it.
+struct JobRecord {
     fleet::JobSpec spec;
     fleet::standin::QueueSpec queue;
-    Handed handed = Handed::Unknown;
-    bool alwaysFails = false;
-    bool cancelAsked = false;
-    std::chrono::steady_clock::time_point cancelledAt {}; ///< acknowledged; zero: not cancelled
-    int starts = 0;
-    std::map<TaskId, TaskCheck> tasks;
-    std::string finalState; ///< as shown to the caller
+    SubmissionResult submissionResult = SubmissionResult::Unknown;
+    bool alwaysFails = false; ///< each run of its tasks fails
+    bool isCancelRequested = false;
+    std::chrono::steady_clock::time_point cancelledAt {}; ///< when acknowledged; zero if not cancelled
+    int startCount = 0;
+    std::map<TaskId, TaskRecord> tasks;
+    std::string finalState; ///< as reported to the caller; empty until then
 
-    bool lasts() const { return spec.steps.front().longRunning; }
+    bool isLongRunning() const { return spec.steps.front().longRunning; }
     bool isCancelled() const { return cancelledAt != std::chrono::steady_clock::time_point {}; }
 };
 
-/// Collects what is broken.
+/// Records runs and submissions, and collects violations of the guarantees.
 class Checker final : public fleet::standin::RunObserver {
 public:
-    std::map<std::string, JobCheck> jobs;
-    std::vector<std::string> faults;
-    int runs = 0;
+    std::map<std::string, JobRecord> jobs;
+    std::vector<std::string> violations;
+    int runCount = 0; ///< started on any VM
 
     void started(const std::string& vm, const std::string& pool, const TaskId& task, std::uint32_t run,
         const std::string& spec) override;
     void ended(const std::string& vm, const TaskId& task, std::uint32_t run, const std::string& how) override;
     void acknowledged(const TaskId& task, std::uint32_t run, const std::string& how) override;
     void broken(const std::string& what) override;
-    /// The caller was told for good that the job is not accepted.
-    void refused(const std::string& job);
-    /// The caller was shown a final state.
-    void shown(const std::string& job, const std::string& state);
-    /// Whether the job needs no more work.
-    bool isSettled(const JobCheck& job) const;
-    /// Runs that have not ended.
-    int liveRuns() const;
+    /// Records that the caller got a final refusal of the job.
+    void recordRefusal(const std::string& job);
+    /// Records and checks the final state that the caller was shown.
+    void recordFinalState(const std::string& job, const std::string& state);
+    /// Whether the job was refused or has a final state.
+    bool isFinished(const JobRecord& job) const;
+    /// Number of runs that have not ended.
+    int activeRunCount() const;
 
 private:
-    void checkStart(const JobCheck& job, const std::string& vm, const std::string& pool, const TaskId& task);
+    void checkStart(const JobRecord& job, const std::string& vm, const std::string& pool, const TaskId& task);
 };
 
 } // namespace damask::soak
--- a/testsuite/soak/soak.cpp
+++ b/testsuite/soak/soak.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Random faults against real processes of the fleet role, with a platform in memory. What callers and VMs
-/// see is checked all the while, and that all work is finished once the faults have ended.
+/// Injects random faults into real processes of the fleet role, with an in-memory platform. Checks throughout
+/// what callers and VMs see, and that all work finishes once the faults have ended.
 #include "checker.h"
 
 #include "../harness/process.h"
@@ -17,9 +17,10 @@
 
 ABSL_FLAG(std::uint64_t, seed, 1, "Seed of the first run.");
 ABSL_FLAG(int, runs, 1, "Number of runs, each with the next seed.");
-ABSL_FLAG(int, seconds, 10, "Seconds of faults and traffic in a run.");
-ABSL_FLAG(int, nodes, 4, "Processes of the fleet role, 2 to 60.");
-ABSL_FLAG(std::string, logs, "", "Folder for the processes' logs; empty: a temporary one, kept on failure.");
+ABSL_FLAG(int, seconds, 10, "Duration of faults and traffic in a run, in seconds.");
+ABSL_FLAG(int, nodes, 4, "Number of processes of the fleet role, 2 to 60.");
+ABSL_FLAG(std::string, logs, "",
+    "Folder for the logs of the processes; empty: a temporary folder. Logs are kept if a run fails.");
 
 namespace damask::soak {
 namespace {
@@ -28,58 +29,61 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// A new job comes this often, on average.
+/// Time between two submissions of new jobs.
 constexpr milliseconds jobInterval { 40 };
-constexpr milliseconds shortestFaultGap { 150 };
-constexpr int faultGapSpread = 500; ///< ms
-/// All work has to be finished this long after the last fault: takeovers of 2 s, leases of 4.5 s, 16 s for
-/// which a VM may be set aside, and the work itself on an unloaded fleet.
-constexpr seconds settleLimit { 45 };
-constexpr int submitAttempts = 5;
-constexpr milliseconds retryPause { 300 };
+constexpr milliseconds minFaultInterval { 150 };
+constexpr int faultIntervalSpreadMs = 500;
+/// All work must finish within this time after the last fault. It covers a takeover (2 s), a lease (4.5 s),
+/// the longest quarantine of a VM (16 s) and the work itself on an unloaded fleet.
+constexpr seconds finishTimeout { 45 };
+constexpr int maxSubmitAttempts = 5;
+constexpr milliseconds retryDelay { 300 };
 constexpr milliseconds callTimeout { 4000 };
 constexpr int machinesPerPool = 4;
 constexpr std::uint16_t callerPort = 7001;
 constexpr std::uint16_t readyPort = 7002;
 
-/// A process of the fleet role and the relay before its table.
+/// A process of the fleet role and the relay between it and the table.
 struct Node {
-    NodePlace place;
+    NodePlace addresses;
     std::string settings;
     std::string log;
     std::unique_ptr<harness::Process> process;
     std::size_t relay = 0;
-    bool paused = false;
+    bool isDown = false; ///< killed, stopping or suspended; gets no further fault
 };
 
 class Soak {
 public:
     Soak(std::uint64_t seed, int nodes, std::string folder);
-    /// Plays the run; returns whether all promises were kept.
-    bool play(seconds length);
+    /// Runs traffic and faults for \p length, then waits for the work; returns whether nothing was violated.
+    bool run(seconds length);
 
 private:
     void startNode(Node& node);
     void setRelay(const Node& node, const nlohmann::json& state);
-    void sendJob();
-    void submit(const std::string& id, int attempt, bool mayBeKnown);
+    void submitNewJob();
+    void submit(const std::string& id, int attempt, bool mayBeStored);
     void cancel(const std::string& id);
-    void askStates();
-    void fault();
-    void nodeFault(Node& node, int kind);
-    void tableFault(int kind);
-    void vmFault(int kind);
-    void heal();
-    bool isDone();
-    void later(milliseconds delay, std::function<void()> action);
-    int pick(int below) { return static_cast<int>(m_random() % static_cast<std::uint64_t>(below)); }
-    Node& anyNode() { return m_nodes[static_cast<std::size_t>(pick(static_cast<int>(m_nodes.size())))]; }
-    void say(const std::string& what) const;
+    void pollJobStates();
+    void injectFault();
+    void injectNodeFault(Node& node, int kind);
+    void injectTableFault(int kind);
+    void injectVmFault(int kind);
+    void clearFaults();
+    bool isAllWorkFinished();
+    void schedule(milliseconds delay, std::function<void()> action);
+    int randomBelow(int limit) { return static_cast<int>(m_random() % static_cast<std::uint64_t>(limit)); }
+    Node& randomNode()
+    {
+        return m_nodes[static_cast<std::size_t>(randomBelow(static_cast<int>(m_nodes.size())))];
+    }
+    void report(const std::string& what) const;
 
     std::uint64_t m_seed;
     std::mt19937_64 m_random;
     std::string m_folder;
-    std::chrono::steady_clock::time_point m_beganAt = std::chrono::steady_clock::now();
+    std::chrono::steady_clock::time_point m_startTime = std::chrono::steady_clock::now();
     Loop m_loop;
     Checker m_checker;
     Platform m_platform;
@@ -89,9 +93,9 @@
     Address m_relayAdmin;
     std::vector<Node> m_nodes;
     std::vector<std::unique_ptr<Timer>> m_timers;
-    std::int64_t m_waves = 0;
-    int m_jobs = 0;
-    int m_faults = 0;
+    std::int64_t m_waveCount = 0;
+    int m_jobCount = 0;
+    int m_faultCount = 0;
 };
 
 Soak::Soak(std::uint64_t seed, int nodes, std::string folder)
@@ -111,7 +115,7 @@
     m_relayAdmin
         = { "127.0.0.1", static_cast<std::uint16_t>(std::stoi(harness::Process::field(line, "port"))) };
     std::stringstream ports(harness::Process::field(line, "ports"));
-    // Addresses of this process's own in 127/8, so that runs side by side do not meet.
+    // Addresses in 127/8 derived from the process id, so that concurrent soaks do not share ports.
     const auto prefix
         = "127." + std::to_string(64 + (getpid() >> 8) % 128) + "." + std::to_string(getpid() % 256) + ".";
     for (int i = 0; i < nodes; ++i) {
@@ -121,24 +125,24 @@
         const auto ip = prefix + std::to_string(i + 1);
         const Address table { "127.0.0.1", static_cast<std::uint16_t>(std::stoi(port)) };
         node.relay = static_cast<std::size_t>(i);
-        node.place = { "n" + std::to_string(i), ip, { ip, callerPort }, { ip, readyPort }, table };
-        node.settings = m_folder + "/" + node.place.node + ".toml";
-        node.log = m_folder + "/" + node.place.node + ".log";
-        m_platform.writeSettings(node.place, node.settings);
+        node.addresses = { "n" + std::to_string(i), ip, { ip, callerPort }, { ip, readyPort }, table };
+        node.settings = m_folder + "/" + node.addresses.node + ".toml";
+        node.log = m_folder + "/" + node.addresses.node + ".log";
+        m_platform.writeSettings(node.addresses, node.settings);
         setRelay(node, nlohmann::json::object());
         startNode(node);
     }
 }
 
-void Soak::say(const std::string& what) const
+void Soak::report(const std::string& what) const
 {
-    const auto at = std::chrono::duration_cast<milliseconds>(std::chrono::steady_clock::now() - m_beganAt);
+    const auto at = std::chrono::duration_cast<milliseconds>(std::chrono::steady_clock::now() - m_startTime);
     std::cout << "seed " << m_seed << " " << at.count() << " ms: " << what << std::endl;
 }
 
 void Soak::startNode(Node& node)
 {
-    node.paused = false;
+    node.isDown = false;
     node.process = std::make_unique<harness::Process>(std::vector<std::string> { harness::binary("damaskd"),
                                                           "fleet", "--deployment_settings=" + node.settings },
         node.log);
@@ -152,144 +156,146 @@
     m_client.send(m_relayAdmin, { "POST", "/admin/relays", "", {}, body.dump() }, callTimeout,
         [this](const HttpResult& result) {
             if (!result)
-                say("the relay does not answer");
+                report("the relay did not answer a change of its faults");
         });
 }
 
-void Soak::later(milliseconds delay, std::function<void()> action)
+void Soak::schedule(milliseconds delay, std::function<void()> action)
 {
     m_timers.push_back(std::make_unique<Timer>(m_loop.base(), std::move(action)));
     m_timers.back()->startOnce(delay);
 }
 
-void Soak::sendJob()
+void Soak::submitNewJob()
 {
-    auto id = std::to_string(m_jobs++);
+    auto id = std::to_string(m_jobCount++);
     id.insert(0, 16 - id.size(), '0');
     auto& job = m_checker.jobs[id];
-    job.queue = m_queues[static_cast<std::size_t>(pick(static_cast<int>(m_queues.size())))];
-    job.alwaysFails = pick(25) == 0;
-    const bool lasts = pick(40) == 0;
-    const Work work { 40 + pick(160), job.alwaysFails ? 1.0 : 0.0, lasts, 100 + 100 * pick(5) };
+    job.queue = m_queues[static_cast<std::size_t>(randomBelow(static_cast<int>(m_queues.size())))];
+    job.alwaysFails = randomBelow(25) == 0;
+    const bool isLongRunning = randomBelow(40) == 0;
+    const Work work { 40 + randomBelow(160), job.alwaysFails ? 1.0 : 0.0, isLongRunning,
+        100 + 100 * randomBelow(5) };
     job.spec.id = id;
     job.spec.spec = encodeWork(work);
-    const int steps = lasts ? 1 : 1 + pick(3);
+    const int steps = isLongRunning ? 1 : 1 + randomBelow(3);
     for (int i = 0; i < steps; ++i) {
         fleet::StepSpec step;
-        step.count = 1 + pick(4);
+        step.count = 1 + randomBelow(4);
         step.need.cpu = work.cpu;
         step.estimate = milliseconds(work.milliseconds);
-        step.longRunning = lasts;
+        step.longRunning = isLongRunning;
         if (i > 0)
             step.after = { i - 1 };
         job.spec.steps.push_back(step);
     }
     submit(id, 1, false);
-    if (pick(10) == 0 || lasts)
-        later(milliseconds(pick(lasts ? 4000 : 600)), [this, id] { cancel(id); });
+    if (randomBelow(10) == 0 || isLongRunning)
+        schedule(milliseconds(randomBelow(isLongRunning ? 4000 : 600)), [this, id] { cancel(id); });
 }
 
-void Soak::submit(const std::string& id, int attempt, bool mayBeKnown)
+void Soak::submit(const std::string& id, int attempt, bool mayBeStored)
 {
     const auto& job = m_checker.jobs.at(id);
-    m_client.send(anyNode().place.callers, submission(job.queue, job.spec), callTimeout,
-        [this, id, attempt, mayBeKnown](const HttpResult& result) {
+    m_client.send(randomNode().addresses.callers, submission(job.queue, job.spec), callTimeout,
+        [this, id, attempt, mayBeStored](const HttpResult& result) {
             auto& job = m_checker.jobs.at(id);
             if (result && result->status == 200) {
-                job.handed = Handed::Accepted;
+                job.submissionResult = SubmissionResult::Accepted;
                 return;
             }
             const bool refused
                 = result ? result->status == 503 || result->status == 429 : !result.error().bytesSent;
-            const bool unknown = mayBeKnown || !refused;
-            // A caller that can't know asks until it does.
-            if (attempt < submitAttempts || unknown)
-                return later(retryPause, [this, id, attempt, unknown] { submit(id, attempt + 1, unknown); });
+            const bool unknown = mayBeStored || !refused;
+            // A caller repeats a submission until it knows whether the job was accepted.
+            if (attempt < maxSubmitAttempts || unknown)
+                return schedule(
+                    retryDelay, [this, id, attempt, unknown] { submit(id, attempt + 1, unknown); });
             if (!unknown)
-                m_checker.refused(id);
+                m_checker.recordRefusal(id);
         });
 }
 
 void Soak::cancel(const std::string& id)
 {
     auto& job = m_checker.jobs.at(id);
-    if (job.handed == Handed::Refused)
+    if (job.submissionResult == SubmissionResult::Refused)
         return;
-    job.cancelAsked = true;
-    m_client.send(anyNode().place.callers, cancellation(job.queue, id), callTimeout,
+    job.isCancelRequested = true;
+    m_client.send(randomNode().addresses.callers, cancellation(job.queue, id), callTimeout,
         [this, id](const HttpResult& result) {
             auto& job = m_checker.jobs.at(id);
             if (job.isCancelled())
                 return;
             if (result && result->status == 200)
                 job.cancelledAt = std::chrono::steady_clock::now();
-            else // also if it is not known yet: its caller may still be handing it in
-                later(retryPause, [this, id] { cancel(id); });
+            else // also if the job is unknown: its submission may still be in progress
+                schedule(retryDelay, [this, id] { cancel(id); });
         });
 }
 
-void Soak::askStates()
+void Soak::pollJobStates()
 {
     for (auto& [id, job] : m_checker.jobs) {
-        if (m_checker.isSettled(job) || job.handed == Handed::Unknown)
+        if (m_checker.isFinished(job) || job.submissionResult == SubmissionResult::Unknown)
             continue;
-        m_client.send(anyNode().place.callers, stateRequest(job.queue, id), callTimeout,
+        m_client.send(randomNode().addresses.callers, stateRequest(job.queue, id), callTimeout,
             [this, id = id](const HttpResult& result) {
                 auto& job = m_checker.jobs.at(id);
-                if (!result || m_checker.isSettled(job))
+                if (!result || m_checker.isFinished(job))
                     return;
                 if (result->status == 410)
-                    return m_checker.broken(id + " was accepted and is not known");
+                    return m_checker.broken(id + " was accepted but the fleet does not know it");
                 const auto state = stateIn(*result);
                 if (state == "completed" || state == "failed" || state == "cancelled")
-                    m_checker.shown(id, state);
+                    m_checker.recordFinalState(id, state);
             });
     }
 }
 
-void Soak::fault()
+void Soak::injectFault()
 {
-    ++m_faults;
-    const int kind = pick(20);
+    ++m_faultCount;
+    const int kind = randomBelow(20);
     if (kind < 9)
-        nodeFault(anyNode(), kind);
+        injectNodeFault(randomNode(), kind);
     else if (kind < 15)
-        tableFault(kind - 9);
+        injectTableFault(kind - 9);
     else
-        vmFault(kind - 15);
+        injectVmFault(kind - 15);
 }
 
-void Soak::nodeFault(Node& node, int kind)
+void Soak::injectNodeFault(Node& node, int kind)
 {
-    const milliseconds time(200 + pick(3000));
-    const auto& name = node.place.node;
-    if (node.paused)
+    const milliseconds time(200 + randomBelow(3000));
+    const auto& name = node.addresses.node;
+    if (node.isDown)
         return;
     switch (kind) {
     case 0:
     case 1:
-        say("kill " + name);
+        report("kill " + name);
         node.process->signal(SIGKILL);
         node.process->wait();
-        node.paused = true;
-        return later(milliseconds(pick(1500)), [this, &node] { startNode(node); });
+        node.isDown = true;
+        return schedule(milliseconds(randomBelow(1500)), [this, &node] { startNode(node); });
     case 2:
-        say("stop " + name);
+        report("stop " + name);
         node.process->signal(SIGTERM);
-        node.paused = true;
-        return later(milliseconds(7000), [this, &node] {
+        node.isDown = true;
+        return schedule(milliseconds(7000), [this, &node] {
             node.process->signal(SIGKILL);
             node.process->wait();
             startNode(node);
         });
     case 3:
     case 4:
-        say("pause " + name + " for " + std::to_string(time.count()));
+        report("pause " + name + " for " + std::to_string(time.count()));
         node.process->signal(SIGSTOP);
-        node.paused = true;
-        return later(time, [&node] {
+        node.isDown = true;
+        return schedule(time, [&node] {
             node.process->signal(SIGCONT);
-            node.paused = false;
+            node.isDown = false;
         });
     default:
         break;
@@ -297,21 +303,21 @@
     static const std::array<nlohmann::json, 4> states { { { { "cut", true } }, { { "silent", "answers" } },
         { { "silent", "both" } }, { { "delayMs", 150 } } } };
     const auto& state = states.at(static_cast<std::size_t>(kind - 5));
-    say("relay of " + name + " " + state.dump());
+    report("relay of " + name + " " + state.dump());
     setRelay(node, state);
-    later(time, [this, &node] { setRelay(node, nlohmann::json::object()); });
+    schedule(time, [this, &node] { setRelay(node, nlohmann::json::object()); });
 }
 
-void Soak::tableFault(int kind)
+void Soak::injectTableFault(int kind)
 {
     auto& table = m_platform.table();
-    const milliseconds time(300 + pick(2500));
+    const milliseconds time(300 + randomBelow(2500));
     static const char* const names[]
-        = { "refuses", "overloaded", "loses answers", "late", "slow", "forgets" };
-    say(std::string("table ") + names[kind] + " for " + std::to_string(time.count()));
+        = { "refuses calls", "overloaded", "loses answers", "commits late", "slow", "drops its history" };
+    report(std::string("table ") + names[kind] + " for " + std::to_string(time.count()));
     switch (kind) {
     case 0:
-        table.faults.refused = pick(2) ? 1 : 0.4;
+        table.faults.refused = randomBelow(2) ? 1 : 0.4;
         break;
     case 1:
         table.faults.overloaded = 0.4;
@@ -323,107 +329,110 @@
         table.faults.late = 0.2;
         break;
     case 4:
-        table.faults.delay = milliseconds(50 + pick(300));
+        table.faults.delay = milliseconds(50 + randomBelow(300));
         break;
     default:
         return table.forgetHistory();
     }
-    later(time, [&table] { table.faults = {}; });
+    schedule(time, [&table] { table.faults = {}; });
 }
 
-void Soak::vmFault(int kind)
+void Soak::injectVmFault(int kind)
 {
     auto& vms = m_platform.vms();
     if (vms.empty())
         return;
     auto chosen = vms.begin();
-    std::advance(chosen, pick(static_cast<int>(vms.size())));
+    std::advance(chosen, randomBelow(static_cast<int>(vms.size())));
     const auto machine = chosen->first;
     switch (kind) {
     case 0:
-        say("crash of " + machine);
-        return m_platform.crash(machine, milliseconds(200 + pick(2000)));
+        report("crash of the VM of " + machine);
+        return m_platform.crash(machine, milliseconds(200 + randomBelow(2000)));
     case 1:
-        say(machine + " refuses");
+        report("VM of " + machine + " refuses calls");
         chosen->second->faults.refused = 0.5;
         break;
     case 2:
     case 3:
-        say(machine + " carries orders out late");
+        report("VM of " + machine + " executes commands late");
         chosen->second->faults.late = 0.3;
         break;
     default: {
-        std::set<std::string> due;
+        std::set<std::string> machines;
         for (const auto& [id, vm] : vms) {
-            if (pick(3) == 0)
-                due.insert(id);
+            if (randomBelow(3) == 0)
+                machines.insert(id);
         }
-        if (due.empty() || m_waves >= 2)
+        if (machines.empty() || m_waveCount >= 2)
             return;
-        say("wave of " + std::to_string(due.size()));
-        return m_platform.orderWave(++m_waves, due, 2, seconds(20));
+        report("maintenance wave of " + std::to_string(machines.size()) + " machines");
+        return m_platform.orderWave(++m_waveCount, machines, 2, seconds(20));
     }
     }
-    later(milliseconds(500 + pick(2000)), [this, machine] {
+    schedule(milliseconds(500 + randomBelow(2000)), [this, machine] {
         const auto vm = m_platform.vms().find(machine);
         if (vm != m_platform.vms().end())
             vm->second->faults = {};
     });
 }
 
-void Soak::heal()
+void Soak::clearFaults()
 {
-    say("heal");
+    report("all faults cleared");
     m_platform.table().faults = {};
     for (auto& [machine, vm] : m_platform.vms())
         vm->faults = {};
     for (auto& node : m_nodes) {
         setRelay(node, nlohmann::json::object());
-        if (node.process->hasEnded() && !node.paused)
-            m_checker.broken(node.place.node + " has ended by itself");
+        if (node.process->hasEnded() && !node.isDown)
+            m_checker.broken(node.addresses.node + " exited unexpectedly");
     }
     for (auto& [id, job] : m_checker.jobs) {
-        if (job.lasts() && !job.isCancelled())
+        if (job.isLongRunning() && !job.isCancelled())
             cancel(id);
     }
 }
 
-bool Soak::isDone()
+bool Soak::isAllWorkFinished()
 {
-    for (std::int64_t wave = 1; wave <= m_waves; ++wave) {
+    for (std::int64_t wave = 1; wave <= m_waveCount; ++wave) {
         if (!m_platform.isWaveDone(wave))
             return false;
     }
-    return m_checker.liveRuns() == 0
+    return m_checker.activeRunCount() == 0
         && std::all_of(m_checker.jobs.begin(), m_checker.jobs.end(),
-            [this](const auto& entry) { return m_checker.isSettled(entry.second); });
+            [this](const auto& entry) { return m_checker.isFinished(entry.second); });
 }
 
-bool Soak::play(seconds length)
+bool Soak::run(seconds length)
 {
-    Timer traffic(m_loop.base(), [this] { sendJob(); });
+    Timer traffic(m_loop.base(), [this] { submitNewJob(); });
     Timer faults(m_loop.base(), [this, &faults] {
-        fault();
-        faults.startOnce(shortestFaultGap + milliseconds(pick(faultGapSpread)));
+        injectFault();
+        faults.startOnce(minFaultInterval + milliseconds(randomBelow(faultIntervalSpreadMs)));
     });
     traffic.startPeriodic(jobInterval);
     faults.startOnce(milliseconds(2000));
     m_loop.runUntil([] { return false; }, length);
     traffic.stop();
     faults.stop();
-    heal();
-    Timer states(m_loop.base(), [this] { askStates(); });
+    clearFaults();
+    Timer states(m_loop.base(), [this] { pollJobStates(); });
     states.startPeriodic(milliseconds(400));
-    if (!m_loop.runUntil([this] { return isDone(); }, settleLimit)) {
+    if (!m_loop.runUntil([this] { return isAllWorkFinished(); }, finishTimeout)) {
         for (const auto& [id, job] : m_checker.jobs) {
-            if (!m_checker.isSettled(job))
-                m_checker.broken(id + " has not ended, " + std::to_string(job.starts) + " starts");
+            if (!m_checker.isFinished(job))
+                m_checker.broken(
+                    id + " has no final state after " + std::to_string(job.startCount) + " task starts");
         }
-        m_checker.broken("not all work has ended; live runs: " + std::to_string(m_checker.liveRuns()));
+        m_checker.broken(
+            "not all work has finished; active runs: " + std::to_string(m_checker.activeRunCount()));
     }
-    say(std::to_string(m_jobs) + " jobs, " + std::to_string(m_checker.runs) + " runs, "
-        + std::to_string(m_faults) + " faults, " + std::to_string(m_checker.faults.size()) + " broken");
-    return m_checker.faults.empty();
+    report(std::to_string(m_jobCount) + " jobs, " + std::to_string(m_checker.runCount) + " runs, "
+        + std::to_string(m_faultCount) + " faults, " + std::to_string(m_checker.violations.size())
+        + " violations");
+    return m_checker.violations.empty();
 }
 
 } // namespace
@@ -442,16 +451,16 @@
             folder = std::filesystem::temp_directory_path().string();
         folder += "/damask_soak_" + std::to_string(getpid()) + "_" + std::to_string(seed);
         std::filesystem::create_directories(folder);
-        bool kept = false;
+        bool hasPassed = false;
         {
-            soak::Soak run(seed, absl::GetFlag(FLAGS_nodes), folder);
-            kept = run.play(std::chrono::seconds(absl::GetFlag(FLAGS_seconds)));
+            soak::Soak soak(seed, absl::GetFlag(FLAGS_nodes), folder);
+            hasPassed = soak.run(std::chrono::seconds(absl::GetFlag(FLAGS_seconds)));
         }
-        failed += !kept;
-        if (kept)
+        failed += !hasPassed;
+        if (hasPassed)
             std::filesystem::remove_all(folder);
         else
-            std::cout << "seed " << seed << " failed, logs in " << folder << std::endl;
+            std::cout << "seed " << seed << " failed, logs are in " << folder << std::endl;
     }
     std::cout << failed << " of " << absl::GetFlag(FLAGS_runs) << " runs failed" << std::endl;
     return failed == 0 ? 0 : 1;
--- a/testsuite/standins/fake_platform.h
+++ b/testsuite/standins/fake_platform.h
@@ -1,5 +1,5 @@
 /// \file
-/// In-process platform over TableModel whose requests wait until the test decides what becomes of each.
+/// In-process platform over TableModel. Each request stays pending until the test decides its outcome.
 #pragma once
 
 #include "table_model.h"
@@ -14,43 +14,44 @@
 
 namespace damask::standin {
 
-/// What becomes of a request.
+/// Outcome that the test chooses for a request. Reads treat every value but Answer and Duplicate as a
+/// failure.
 enum class Fate {
-    Answer, ///< takes effect and is answered
-    Refuse, ///< no effect, answered as unavailable
-    LoseBefore, ///< no effect, no answer
-    LoseAfter, ///< takes effect, no answer
-    Delay, ///< no answer; takes effect later
-    Duplicate, ///< takes effect and is answered; a copy arrives later
+    Answer, ///< takes effect; answered
+    Refuse, ///< no effect; answered as unavailable
+    LoseBefore, ///< no effect; no answer
+    LoseAfter, ///< takes effect; no answer
+    Delay, ///< no answer; takes effect when the test calls arrive()
+    Duplicate, ///< takes effect; answered; a copy of the write arrives with arrive()
 };
 
-/// Platform with a table and an object store; the other calls answer with nothing.
+/// Platform with a table and an object store; all other calls return an empty result.
 class FakePlatform final : public Platform {
 public:
-    /// A platform with a table of its own, or with one that it shares with others.
+    /// Uses a table of its own, or a table that several platforms share.
     explicit FakePlatform(std::shared_ptr<TableModel> shared = std::make_shared<TableModel>())
         : m_table(std::move(shared))
         , table(*m_table)
     {
     }
-    /// Requests that wait for their fate.
-    std::size_t waiting() const { return m_waiting.size(); }
-    /// Writes that are still under way although their sender has given them up.
-    std::size_t late() const { return m_late.size(); }
+    /// Number of pending requests.
+    std::size_t waiting() const { return m_pending.size(); }
+    /// Number of delayed or duplicated writes that have not arrived yet.
+    std::size_t late() const { return m_delayedWrites.size(); }
 
-    /// Decides on the oldest waiting request.
-    void decide(Fate fate)
+    /// Completes the oldest pending request with the given outcome.
+    void decide(Fate outcome)
     {
-        auto request = std::move(m_waiting.front());
-        m_waiting.pop_front();
-        request(fate);
+        auto request = std::move(m_pending.front());
+        m_pending.pop_front();
+        request(outcome);
     }
-    /// Lets one late write arrive.
+    /// Applies one delayed write; \p index is taken modulo their number.
     void arrive(std::size_t index)
     {
-        const auto at = m_late.begin() + static_cast<std::ptrdiff_t>(index % m_late.size());
+        const auto at = m_delayedWrites.begin() + static_cast<std::ptrdiff_t>(index % m_delayedWrites.size());
         const auto transaction = *at;
-        m_late.erase(at);
+        m_delayedWrites.erase(at);
         (void)table.commit(transaction);
     }
 
@@ -76,14 +77,14 @@
     void commit(const Transaction& transaction, PlatformCallback<TableVersion> callback) override
     {
         ++writes;
-        m_waiting.push_back([this, transaction, callback = std::move(callback)](Fate fate) {
-            if (fate == Fate::Refuse)
+        m_pending.push_back([this, transaction, callback = std::move(callback)](Fate outcome) {
+            if (outcome == Fate::Refuse)
                 return callback(tl::make_unexpected(PlatformError {}));
-            if (fate == Fate::Delay || fate == Fate::Duplicate)
-                m_late.push_back(transaction);
-            const bool takesEffect = fate != Fate::LoseBefore && fate != Fate::Delay;
+            if (outcome == Fate::Delay || outcome == Fate::Duplicate)
+                m_delayedWrites.push_back(transaction);
+            const bool takesEffect = outcome != Fate::LoseBefore && outcome != Fate::Delay;
             const auto result = takesEffect ? table.commit(transaction) : PlatformResult<TableVersion>(0);
-            if (fate == Fate::Answer || fate == Fate::Duplicate)
+            if (outcome == Fate::Answer || outcome == Fate::Duplicate)
                 return callback(result);
             callback(
                 tl::make_unexpected(PlatformError { PlatformFailure::OutcomeUnknown, "no answer", "", 0 }));
@@ -111,23 +112,29 @@
             },
             std::move(callback));
     }
-    void listVms(PlatformCallback<std::vector<ListedVm>> callback) override { none(std::move(callback)); }
+    void listVms(PlatformCallback<std::vector<ListedVm>> callback) override
+    {
+        replyEmpty(std::move(callback));
+    }
     void commandVm(std::string_view, VmCommand, PlatformCallback<bool> callback) override
     {
-        none(std::move(callback));
+        replyEmpty(std::move(callback));
+    }
+    void reportVms(PlatformCallback<std::vector<VmReport>> callback) override
+    {
+        replyEmpty(std::move(callback));
     }
-    void reportVms(PlatformCallback<std::vector<VmReport>> callback) override { none(std::move(callback)); }
     void commandTask(const TaskRequest&, PlatformCallback<bool> callback) override
     {
-        none(std::move(callback));
+        replyEmpty(std::move(callback));
     }
     void reportTasks(PlatformCallback<std::vector<TaskReport>> callback) override
     {
-        none(std::move(callback));
+        replyEmpty(std::move(callback));
     }
     void announceEntry(std::string_view, bool, PlatformCallback<bool> callback) override
     {
-        none(std::move(callback));
+        replyEmpty(std::move(callback));
     }
 
 private:
@@ -136,7 +143,7 @@
 public:
     TableModel& table;
     std::map<std::string, std::string> objects;
-    std::uint64_t reads = 0; ///< of the table
+    std::uint64_t reads = 0; ///< of the table, full reads included
     std::uint64_t fullReads = 0; ///< of all rows under a prefix
     std::uint64_t writes = 0; ///< to the table
     std::uint64_t objectReads = 0;
@@ -145,19 +152,19 @@
 private:
     template <typename T> void read(std::function<PlatformResult<T>()> answer, PlatformCallback<T> callback)
     {
-        m_waiting.push_back([answer = std::move(answer), callback = std::move(callback)](Fate fate) {
-            if (fate == Fate::Answer || fate == Fate::Duplicate)
+        m_pending.push_back([answer = std::move(answer), callback = std::move(callback)](Fate outcome) {
+            if (outcome == Fate::Answer || outcome == Fate::Duplicate)
                 return callback(answer());
             callback(tl::make_unexpected(PlatformError {}));
         });
     }
-    template <typename T> void none(PlatformCallback<T> callback)
+    template <typename T> void replyEmpty(PlatformCallback<T> callback)
     {
-        m_waiting.push_back([callback = std::move(callback)](Fate) { callback(T {}); });
+        m_pending.push_back([callback = std::move(callback)](Fate) { callback(T {}); });
     }
 
-    std::deque<std::function<void(Fate)>> m_waiting;
-    std::vector<Transaction> m_late;
+    std::deque<std::function<void(Fate)>> m_pending;
+    std::vector<Transaction> m_delayedWrites;
 };
 
 } // namespace damask::standin
--- a/testsuite/standins/standin_endpoint.cpp
+++ b/testsuite/standins/standin_endpoint.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Stand-in for endpoints: each name given as an argument becomes one VM with a port of its own that
-/// answers requests, runs tasks, obeys the platform's control and records what it ran.
+/// Stand-in for endpoints. Each argument names one VM, which listens on a port of its own, answers requests,
+/// runs tasks, executes the platform's control commands and records what it ran.
 #include <damaskworks/http.h>
 #include <damaskworks/log.h>
 #include <damaskworks/loop.h>
@@ -15,16 +15,16 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds rebootTime { 150 };
+constexpr std::chrono::milliseconds rebootDuration { 150 };
 
 class Endpoint {
 public:
     Endpoint(Loop& loop, std::string id)
         : m_loop(loop)
         , m_id(std::move(id))
-        , m_rebooted(loop.base(), [this] { finishReboot(); })
+        , m_rebootTimer(loop.base(), [this] { finishReboot(); })
     {
-        open();
+        listen();
     }
 
     std::uint16_t port() const { return m_port; }
@@ -32,7 +32,7 @@
 private:
     using Exchange = std::shared_ptr<HttpExchange>;
 
-    void open()
+    void listen()
     {
         m_server = std::make_unique<HttpServer>(
             m_loop.base(), HttpLimits {}, [this](auto exchange) { serve(std::move(exchange)); });
@@ -49,16 +49,16 @@
         const auto& path = exchange->request().path;
         if (path.starts_with("/_control/"))
             return serveControl(exchange, path.substr(10));
-        if (m_mode == "refuse" || m_draining || m_rebooting) {
+        if (m_mode == "refuse" || m_isDraining || m_isRebooting) {
             exchange->reply({ 503, { { "Damask-Outcome", "not-run" } }, "leaving" });
             return;
         }
         if (m_mode == "hang") {
-            m_hanging.push_back(exchange);
-            record(exchange);
+            m_unansweredRequests.push_back(exchange);
+            recordRun(exchange);
             return;
         }
-        record(exchange);
+        recordRun(exchange);
         if (m_delay.count() == 0)
             return finish(exchange);
         auto timer = std::make_shared<std::unique_ptr<Timer>>();
@@ -69,9 +69,9 @@
         (*timer)->startOnce(m_delay);
     }
 
-    void record(const Exchange& exchange)
+    void recordRun(const Exchange& exchange)
     {
-        ++m_running;
+        ++m_runningRequests;
         const auto& request = exchange->request();
         const auto id = http::header(request.headers, "X-Request-Id");
         m_runs.push_back(
@@ -84,7 +84,7 @@
     void finish(const Exchange& exchange)
     {
         m_finishedTimers.clear();
-        --m_running;
+        --m_runningRequests;
         if (m_mode == "fail")
             return reply(exchange, 500, { { "vm", m_id } });
         const auto& request = exchange->request();
@@ -104,11 +104,11 @@
         if (command == "mode") {
             m_mode = body.value("mode", "ok");
             m_delay = std::chrono::milliseconds(body.value("delayMs", 0));
-            m_failReboots = body.value("failReboots", 0);
+            m_remainingRebootFailures = body.value("failReboots", 0);
         } else if (command == "drain") {
-            m_draining = true;
+            m_isDraining = true;
         } else if (command == "attach") {
-            m_draining = false;
+            m_isDraining = false;
         } else if (command == "reboot") {
             beginReboot();
         } else if (command.starts_with("task/")) {
@@ -121,45 +121,45 @@
 
     void report(const Exchange& exchange)
     {
-        endDueTasks();
+        completeDueTasks();
         json tasks = json::array();
         for (const auto& [name, task] : m_tasks)
             tasks.push_back(task);
-        const json self
-            = { { "id", m_id }, { "reachable", !m_rebooting }, { "healthy", !m_rebooting && !m_broken },
-                  { "draining", m_draining }, { "runningRequests", m_running },
-                  { "runningTasks", runningTasks() }, { "incarnation", m_incarnation } };
+        const json self = { { "id", m_id }, { "reachable", !m_isRebooting },
+            { "healthy", !m_isRebooting && !m_isUnhealthy }, { "draining", m_isDraining },
+            { "runningRequests", m_runningRequests }, { "runningTasks", runningTasks() },
+            { "incarnation", m_incarnation } };
         reply(exchange, 200, { { "report", self }, { "tasks", tasks } });
     }
 
     void beginReboot()
     {
-        if (m_rebooting)
+        if (m_isRebooting)
             return;
-        m_rebooting = true;
-        m_rebooted.startOnce(rebootTime);
+        m_isRebooting = true;
+        m_rebootTimer.startOnce(rebootDuration);
     }
 
     void finishReboot()
     {
-        m_rebooting = false;
-        m_draining = false;
-        // The platform keeps the outcome of tasks that have ended.
+        m_isRebooting = false;
+        m_isDraining = false;
+        // A reboot removes running tasks only: the platform keeps the outcome of ended tasks.
         std::erase_if(m_tasks, [](const auto& entry) { return entry.second["state"] == "running"; });
-        m_broken = m_failReboots > 0;
-        m_failReboots -= m_failReboots > 0;
+        m_isUnhealthy = m_remainingRebootFailures > 0;
+        m_remainingRebootFailures -= m_remainingRebootFailures > 0;
         ++m_incarnation;
     }
 
     void commandTask(const Exchange& exchange, const std::string& command, const json& body)
     {
         const std::string name = body.value("task", "");
-        auto& epoch = m_jobEpochs[body.value("job", "")];
-        const auto offered = body.value("leaseEpoch", std::uint64_t { 0 });
-        if (offered < epoch)
+        auto& epoch = m_leaseEpochs[body.value("job", "")];
+        const auto requestEpoch = body.value("leaseEpoch", std::uint64_t { 0 });
+        if (requestEpoch < epoch)
             return reply(exchange, 409, json::object());
-        epoch = offered;
-        endDueTasks();
+        epoch = requestEpoch;
+        completeDueTasks();
         if (!m_tasks.contains(name))
             addTask(name, command, body);
         auto& task = m_tasks[name];
@@ -170,9 +170,9 @@
         reply(exchange, 200, json::object());
     }
 
-    /// A task stopped before it came is recorded as stopped, so that a late start does not run it. The
-    /// job's command says how long the task runs and how it ends: `finish MS` or `fail MS`; any other
-    /// command runs until it is stopped.
+    /// Records a task. A stop that arrives before the start records the task as stopped, so that the late
+    /// start does not run it. The job's command sets how long the task runs and how it ends: `finish MS` or
+    /// `fail MS`; with any other command the task runs until it is stopped.
     void addTask(const std::string& name, const std::string& command, const json& body)
     {
         const std::string job = body.value("job", "");
@@ -183,20 +183,20 @@
             return;
         m_runs.push_back({ { "id", name }, { "method", "TASK" }, { "path", job } });
         const auto spec = json::parse(body.value("spec", "{}"), nullptr, false);
-        std::istringstream words(spec.is_object() ? spec.value("command", "") : "");
-        std::string ending;
+        std::istringstream commandWords(spec.is_object() ? spec.value("command", "") : "");
+        std::string result;
         std::int64_t ms = 0;
-        if (words >> ending >> ms && (ending == "finish" || ending == "fail"))
-            m_taskEnds[name] = { m_clock.now() + std::chrono::milliseconds(ms), ending };
+        if (commandWords >> result >> ms && (result == "finish" || result == "fail"))
+            m_taskEnds[name] = { m_clock.now() + std::chrono::milliseconds(ms), result };
     }
 
-    void endDueTasks()
+    void completeDueTasks()
     {
         for (auto& [name, end] : m_taskEnds) {
             auto task = m_tasks.find(name);
             if (task == m_tasks.end() || task->second["state"] != "running" || m_clock.now() < end.at)
                 continue;
-            task->second["state"] = end.ending == "finish" ? "succeeded" : "failed";
+            task->second["state"] = end.result == "finish" ? "succeeded" : "failed";
         }
     }
 
@@ -210,7 +210,7 @@
 
     struct TaskEnd {
         TimePoint at;
-        std::string ending;
+        std::string result; ///< `finish` or `fail`
     };
 
     Loop& m_loop;
@@ -218,20 +218,20 @@
     std::string m_id;
     std::uint16_t m_port = 0;
     std::unique_ptr<HttpServer> m_server;
-    Timer m_rebooted;
+    Timer m_rebootTimer;
     std::string m_mode = "ok";
     std::chrono::milliseconds m_delay { 0 };
-    int m_failReboots = 0;
-    int m_running = 0;
-    bool m_draining = false;
-    bool m_rebooting = false;
-    bool m_broken = false;
+    int m_remainingRebootFailures = 0;
+    int m_runningRequests = 0;
+    bool m_isDraining = false;
+    bool m_isRebooting = false;
+    bool m_isUnhealthy = false;
     std::uint64_t m_incarnation = 1;
     json m_runs = json::array();
     std::map<std::string, json> m_tasks;
     std::map<std::string, TaskEnd> m_taskEnds;
-    std::map<std::string, std::uint64_t> m_jobEpochs;
-    std::vector<Exchange> m_hanging;
+    std::map<std::string, std::uint64_t> m_leaseEpochs;
+    std::vector<Exchange> m_unansweredRequests;
     std::vector<std::unique_ptr<Timer>> m_finishedTimers;
 };
 
--- a/testsuite/standins/standin_platform.cpp
+++ b/testsuite/standins/standin_platform.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Stand-in for the platform: table, object store, VM list, VM and task control, with faults that a
-/// test switches on through `/admin`.
+/// Stand-in for the platform: table, object store, VM list, VM control and task control. Tests inject faults
+/// through `/admin`.
 #include "table_model.h"
 
 #include <damaskworks/log.h>
@@ -29,15 +29,15 @@
 
 class PlatformStandin {
 public:
-    PlatformStandin(Loop& loop, std::chrono::milliseconds listLag)
+    PlatformStandin(Loop& loop, std::chrono::milliseconds vmListDelay)
         : m_loop(loop)
-        , m_listLag(listLag)
+        , m_vmListDelay(vmListDelay)
         , m_client(loop.base(), {})
         , m_server(loop.base(), HttpLimits { .bodyBytes = 64 << 20 },
               [this](auto exchange) { serve(std::move(exchange)); })
-        , m_reports(loop.base(), [this] { collectReports(); })
+        , m_reportTimer(loop.base(), [this] { collectReports(); })
     {
-        m_reports.startPeriodic(reportPeriod);
+        m_reportTimer.startPeriodic(reportPeriod);
     }
 
     std::uint16_t listen() { return *m_server.listen({ "127.0.0.1", 0 }); }
@@ -46,7 +46,7 @@
     using Exchange = std::shared_ptr<HttpExchange>;
 
     struct ListSnapshot {
-        TimePoint since;
+        TimePoint publishedAt;
         json items;
     };
 
@@ -90,8 +90,8 @@
             return serveAdmin(exchange);
         const std::string client(http::header(request.headers, "User-Agent").value_or(""));
         ++m_requests[client];
-        if (m_cut.contains(client))
-            return m_neverAnswered.push_back(exchange);
+        if (m_cutClients.contains(client))
+            return m_unansweredRequests.push_back(exchange);
         if (request.path.starts_with("/table/") || request.path.starts_with("/objects/"))
             return serveStore(exchange);
         if (request.path == "/vms")
@@ -113,19 +113,19 @@
 
     void serveStore(const Exchange& exchange)
     {
-        if (m_fault == TableFault::Down)
+        if (m_tableFault == TableFault::Down)
             return reply(exchange, 503, json::object());
-        if (m_fault != TableFault::Slow)
-            return answerStore(exchange);
+        if (m_tableFault != TableFault::Slow)
+            return replyFromStore(exchange);
         auto timer = std::make_shared<std::unique_ptr<Timer>>();
         *timer = std::make_unique<Timer>(m_loop.base(), [this, exchange, timer] {
-            answerStore(exchange);
+            replyFromStore(exchange);
             m_finishedTimers.push_back(std::move(*timer));
         });
-        (*timer)->startOnce(m_slowness);
+        (*timer)->startOnce(m_storeDelay);
     }
 
-    void answerStore(const Exchange& exchange)
+    void replyFromStore(const Exchange& exchange)
     {
         m_finishedTimers.clear();
         const auto& request = exchange->request();
@@ -172,9 +172,9 @@
                 value.is_null() ? std::nullopt : std::optional(value.get<std::string>()) });
         }
         const auto version = m_table.commit(transaction);
-        if (m_fault == TableFault::LoseAnswers || m_loseNext > 0) {
-            m_loseNext -= m_loseNext > 0;
-            m_neverAnswered.push_back(exchange);
+        if (m_tableFault == TableFault::LoseAnswers || m_answersToLose > 0) {
+            m_answersToLose -= m_answersToLose > 0;
+            m_unansweredRequests.push_back(exchange);
             return;
         }
         if (version)
@@ -184,10 +184,10 @@
 
     json listedVms()
     {
-        const auto visible = m_clock.now() - m_listLag;
+        const auto newestVisible = m_clock.now() - m_vmListDelay;
         json items = json::array();
-        for (const auto& snapshot : m_lists) {
-            if (snapshot.since <= visible)
+        for (const auto& snapshot : m_vmLists) {
+            if (snapshot.publishedAt <= newestVisible)
                 items = snapshot.items;
         }
         return items;
@@ -215,16 +215,16 @@
 
     const json* findVm(const std::string& id) const
     {
-        if (m_lists.empty())
+        if (m_vmLists.empty())
             return nullptr;
-        for (const auto& vm : m_lists.back().items) {
+        for (const auto& vm : m_vmLists.back().items) {
             if (vm.value("id", "") == id)
                 return &vm;
         }
         return nullptr;
     }
 
-    void control(
+    void sendControl(
         const std::string& vm, const std::string& path, const std::string& body, HttpCallback callback)
     {
         const auto* found = findVm(vm);
@@ -237,7 +237,7 @@
             *address, { "POST", "/_control/" + path, "", {}, body }, controlTimeout, std::move(callback));
     }
 
-    static HttpCallback passOn(const Exchange& exchange)
+    static HttpCallback forwardStatus(const Exchange& exchange)
     {
         return
             [exchange](HttpResult result) { reply(exchange, result ? result->status : 503, json::object()); };
@@ -249,33 +249,34 @@
         if (slash == std::string::npos)
             return reply(exchange, 404, json::object());
         m_commands.push_back({ { "vm", rest.substr(0, slash) }, { "command", rest.substr(slash + 1) } });
-        control(rest.substr(0, slash), rest.substr(slash + 1), "{}", passOn(exchange));
+        sendControl(rest.substr(0, slash), rest.substr(slash + 1), "{}", forwardStatus(exchange));
     }
 
     void commandTask(const Exchange& exchange, const std::string& command)
     {
         const auto body = json::parse(exchange->request().body, nullptr, false);
-        control(body.value("vm", ""), "task/" + command, exchange->request().body, passOn(exchange));
+        sendControl(
+            body.value("vm", ""), "task/" + command, exchange->request().body, forwardStatus(exchange));
     }
 
     void collectReports()
     {
-        if (m_lists.empty())
+        if (m_vmLists.empty())
             return;
-        for (const auto& vm : m_lists.back().items) {
+        for (const auto& vm : m_vmLists.back().items) {
             if (vm.value("role", "") != "worker")
                 continue;
             const std::string id = vm.value("id", "");
-            // Benchmarks of control list VMs that have no process; they are reported as healthy.
+            // Control benchmarks list VMs without a process (`static`); these are reported as healthy.
             if (vm.value("static", false)) {
                 m_vmReports[id] = { { "report",
                     { { "id", id }, { "reachable", true }, { "healthy", true }, { "incarnation", 1 } } } };
                 continue;
             }
-            if (!m_reportPending.insert(id).second)
+            if (!m_pendingReports.insert(id).second)
                 continue;
-            control(id, "report", "{}", [this, id](HttpResult result) {
-                m_reportPending.erase(id);
+            sendControl(id, "report", "{}", [this, id](HttpResult result) {
+                m_pendingReports.erase(id);
                 auto body
                     = result && result->status == 200 ? json::parse(result->body, nullptr, false) : json();
                 if (body.is_object())
@@ -292,16 +293,16 @@
         const auto& request = exchange->request();
         const auto body = request.body.empty() ? json::object() : json::parse(request.body, nullptr, false);
         if (request.path == "/admin/vms") {
-            m_lists.push_back({ m_clock.now(), body.at("items") });
+            m_vmLists.push_back({ m_clock.now(), body.at("items") });
             return reply(exchange, 200, json::object());
         }
         if (request.path == "/admin/faults") {
-            m_fault = valueOf(tableFaultNames, body.value("table", "ok")).value_or(TableFault::None);
-            m_slowness = std::chrono::milliseconds(body.value("slowMs", 0));
-            m_loseNext = body.value("loseNext", 0);
-            m_cut.clear();
+            m_tableFault = valueOf(tableFaultNames, body.value("table", "ok")).value_or(TableFault::None);
+            m_storeDelay = std::chrono::milliseconds(body.value("slowMs", 0));
+            m_answersToLose = body.value("loseNext", 0);
+            m_cutClients.clear();
             for (const auto& client : body.value("cut", json::array()))
-                m_cut.insert(client.get<std::string>());
+                m_cutClients.insert(client.get<std::string>());
             return reply(exchange, 200, json::object());
         }
         if (request.path == "/admin/counts")
@@ -321,24 +322,24 @@
 
     Loop& m_loop;
     SystemClock m_clock;
-    std::chrono::milliseconds m_listLag;
+    std::chrono::milliseconds m_vmListDelay;
     HttpClient m_client;
     HttpServer m_server;
-    Timer m_reports;
+    Timer m_reportTimer;
     standin::TableModel m_table;
     std::map<std::string, std::string> m_objects;
-    std::vector<ListSnapshot> m_lists;
+    std::vector<ListSnapshot> m_vmLists;
     std::map<std::string, json> m_vmReports;
-    std::set<std::string> m_reportPending;
+    std::set<std::string> m_pendingReports;
     std::map<std::string, bool> m_announcements;
     json m_commands = json::array();
     std::map<std::string, std::uint64_t> m_requests;
-    std::vector<Exchange> m_neverAnswered;
+    std::vector<Exchange> m_unansweredRequests;
     std::vector<std::unique_ptr<Timer>> m_finishedTimers;
-    std::set<std::string> m_cut;
-    TableFault m_fault = TableFault::None;
-    std::chrono::milliseconds m_slowness { 0 };
-    int m_loseNext = 0;
+    std::set<std::string> m_cutClients;
+    TableFault m_tableFault = TableFault::None;
+    std::chrono::milliseconds m_storeDelay { 0 };
+    int m_answersToLose = 0;
     std::uint64_t m_reads = 0;
     std::uint64_t m_writes = 0;
 };
@@ -348,9 +349,9 @@
 int main(int argc, char** argv)
 {
     std::signal(SIGPIPE, SIG_IGN);
-    const std::chrono::milliseconds lag(argc > 1 ? std::stoi(argv[1]) : 200);
+    const std::chrono::milliseconds vmListDelay(argc > 1 ? std::stoi(argv[1]) : 200);
     Loop loop;
-    PlatformStandin standin(loop, lag);
+    PlatformStandin standin(loop, vmListDelay);
     initializeLogging(LogLevel::Info, "platform");
     logEvent(LogLevel::Info, "listening", { { "port", std::to_string(standin.listen()) } });
     loop.run();
--- a/testsuite/standins/standin_relay.cpp
+++ b/testsuite/standins/standin_relay.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// TCP relays between processes, so that a test can cut them off from each other. Each relay stands before
-/// one port; `/admin/relays` sets its target and whether bytes pass, vanish or are late.
+/// TCP relays with which a test disconnects processes from each other. Each relay listens on one port;
+/// `/admin/relays` sets its target and whether it forwards, discards or delays bytes.
 #include <damaskworks/http.h>
 #include <damaskworks/log.h>
 #include <damaskworks/loop.h>
@@ -29,24 +29,24 @@
 
 class Relay;
 
-/// What a relay does with the bytes that pass.
-struct Trouble {
-    bool isCut = false; ///< connections are closed, new ones too
-    bool losesRequests = false; ///< bytes towards the target vanish
-    bool losesAnswers = false;
-    std::chrono::milliseconds delay { 0 };
+/// Faults that a relay injects.
+struct RelayFaults {
+    bool isCut = false; ///< existing and new connections are closed
+    bool losesRequests = false; ///< bytes to the target are discarded
+    bool losesAnswers = false; ///< bytes from the target are discarded
+    std::chrono::milliseconds delay { 0 }; ///< before bytes are forwarded
 };
 
-/// Two sockets joined; ends when either ends.
-struct Pair {
+/// A client connection joined to a connection to the target; both close when either closes.
+struct ConnectionPair {
     Relay* relay = nullptr;
-    bufferevent* near = nullptr;
-    bufferevent* far = nullptr;
-    std::unique_ptr<Timer> forwarding; ///< delayed bytes go on when it fires
-    ~Pair()
+    bufferevent* downstream = nullptr;
+    bufferevent* upstream = nullptr;
+    std::unique_ptr<Timer> delayTimer; ///< forwards delayed bytes when it fires
+    ~ConnectionPair()
     {
-        bufferevent_free(near);
-        bufferevent_free(far);
+        bufferevent_free(downstream);
+        bufferevent_free(upstream);
     }
 };
 
@@ -72,11 +72,11 @@
         return ntohs(bound.sin_port);
     }
 
-    void set(const Address& target, const Trouble& trouble)
+    void set(const Address& target, const RelayFaults& faults)
     {
         m_target = target;
-        m_trouble = trouble;
-        if (trouble.isCut)
+        m_faults = faults;
+        if (faults.isCut)
             m_pairs.clear();
     }
 
@@ -84,17 +84,17 @@
     static void onAccept(evconnlistener*, evutil_socket_t socket, sockaddr*, int, void* argument)
     {
         auto& self = *static_cast<Relay*>(argument);
-        if (self.m_trouble.isCut || self.m_target.port == 0) {
+        if (self.m_faults.isCut || self.m_target.port == 0) {
             evutil_closesocket(socket);
             return;
         }
-        auto pair = std::make_unique<Pair>();
+        auto pair = std::make_unique<ConnectionPair>();
         pair->relay = &self;
-        pair->near = bufferevent_socket_new(self.m_base, socket, BEV_OPT_CLOSE_ON_FREE);
-        pair->far = bufferevent_socket_new(self.m_base, -1, BEV_OPT_CLOSE_ON_FREE);
+        pair->downstream = bufferevent_socket_new(self.m_base, socket, BEV_OPT_CLOSE_ON_FREE);
+        pair->upstream = bufferevent_socket_new(self.m_base, -1, BEV_OPT_CLOSE_ON_FREE);
         auto address = toSockaddr(self.m_target);
-        bufferevent_socket_connect(pair->far, reinterpret_cast<sockaddr*>(&address), sizeof(address));
-        for (auto* end : { pair->near, pair->far }) {
+        bufferevent_socket_connect(pair->upstream, reinterpret_cast<sockaddr*>(&address), sizeof(address));
+        for (auto* end : { pair->downstream, pair->upstream }) {
             bufferevent_setcb(end, onRead, nullptr, onEvent, pair.get());
             bufferevent_enable(end, EV_READ | EV_WRITE);
         }
@@ -103,38 +103,39 @@
 
     static void onRead(bufferevent* from, void* argument)
     {
-        auto& pair = *static_cast<Pair*>(argument);
+        auto& pair = *static_cast<ConnectionPair*>(argument);
         auto& self = *pair.relay;
         auto* bytes = bufferevent_get_input(from);
-        const bool vanishes = from == pair.near ? self.m_trouble.losesRequests : self.m_trouble.losesAnswers;
-        if (vanishes)
+        const bool isDiscarded
+            = from == pair.downstream ? self.m_faults.losesRequests : self.m_faults.losesAnswers;
+        if (isDiscarded)
             evbuffer_drain(bytes, evbuffer_get_length(bytes));
-        if (self.m_trouble.delay.count() == 0)
-            return pass(pair);
-        if (!pair.forwarding)
-            pair.forwarding = std::make_unique<Timer>(self.m_base, [&pair] { pass(pair); });
-        pair.forwarding->startOnce(self.m_trouble.delay);
+        if (self.m_faults.delay.count() == 0)
+            return forward(pair);
+        if (!pair.delayTimer)
+            pair.delayTimer = std::make_unique<Timer>(self.m_base, [&pair] { forward(pair); });
+        pair.delayTimer->startOnce(self.m_faults.delay);
     }
 
-    static void pass(Pair& pair)
+    static void forward(ConnectionPair& pair)
     {
-        bufferevent_write_buffer(pair.far, bufferevent_get_input(pair.near));
-        bufferevent_write_buffer(pair.near, bufferevent_get_input(pair.far));
+        bufferevent_write_buffer(pair.upstream, bufferevent_get_input(pair.downstream));
+        bufferevent_write_buffer(pair.downstream, bufferevent_get_input(pair.upstream));
     }
 
     static void onEvent(bufferevent*, short events, void* argument)
     {
         if (!(events & (BEV_EVENT_EOF | BEV_EVENT_ERROR)))
             return;
-        auto* pair = static_cast<Pair*>(argument);
+        auto* pair = static_cast<ConnectionPair*>(argument);
         std::erase_if(pair->relay->m_pairs, [&](const auto& one) { return one.get() == pair; });
     }
 
     event_base* m_base;
     evconnlistener* m_listener;
     Address m_target;
-    Trouble m_trouble;
-    std::vector<std::unique_ptr<Pair>> m_pairs;
+    RelayFaults m_faults;
+    std::vector<std::unique_ptr<ConnectionPair>> m_pairs;
 };
 
 } // namespace
@@ -153,9 +154,9 @@
         const auto body = json::parse(exchange->request().body, nullptr, false);
         const auto target = http::parseAddress(body.value("target", "")).value_or(Address {});
         const auto silent = body.value("silent", "");
-        const Trouble trouble { body.value("cut", false), silent == "requests" || silent == "both",
+        const RelayFaults faults { body.value("cut", false), silent == "requests" || silent == "both",
             silent == "answers" || silent == "both", std::chrono::milliseconds(body.value("delayMs", 0)) };
-        relays.at(body.value("relay", 0U))->set(target, trouble);
+        relays.at(body.value("relay", 0U))->set(target, faults);
         exchange->reply({ 200, {}, "{}" });
     });
     initializeLogging(LogLevel::Info, "relay");
--- a/testsuite/standins/table_model.h
+++ b/testsuite/standins/table_model.h
@@ -1,5 +1,5 @@
 /// \file
-/// Transactional table of the stand-ins: rows, conditional transactions and the history of writes.
+/// Transactional in-memory table of the stand-ins: rows, conditional transactions and a history of writes.
 #pragma once
 
 #include <damaskworks/platform.h>
@@ -11,7 +11,7 @@
 
 namespace damask::standin {
 
-/// In-memory table with the semantics that Platform describes.
+/// In-memory table with the semantics of Platform. The history keeps at most `historyLimit` writes.
 class TableModel {
 public:
     explicit TableModel(std::size_t historyLimit = 200'000)
@@ -23,10 +23,10 @@
     {
         for (const auto& condition : transaction.conditions) {
             auto it = m_rows.find(condition.key);
-            const TableVersion present = it == m_rows.end() ? 0 : it->second.version;
-            if (present != condition.version)
+            const TableVersion currentVersion = it == m_rows.end() ? 0 : it->second.version;
+            if (currentVersion != condition.version)
                 return tl::make_unexpected(
-                    PlatformError { PlatformFailure::Conflict, "", condition.key, present });
+                    PlatformError { PlatformFailure::Conflict, "", condition.key, currentVersion });
         }
         ++m_version;
         for (const auto& write : transaction.writes) {
@@ -38,7 +38,7 @@
             m_history.push_back(std::move(row));
         }
         while (m_history.size() > m_historyLimit) {
-            m_oldestKept = m_history.front().version;
+            m_newestDropped = m_history.front().version;
             m_history.pop_front();
         }
         return m_version;
@@ -62,7 +62,7 @@
 
     PlatformResult<Changes> changes(std::string_view prefix, TableVersion since) const
     {
-        if (since < m_oldestKept || since > m_version)
+        if (since < m_newestDropped || since > m_version)
             return tl::make_unexpected(PlatformError { PlatformFailure::HistoryGone, "", "", 0 });
         Changes out { m_version, {} };
         auto it = m_history.end();
@@ -75,7 +75,7 @@
         return out;
     }
 
-    /// Every write that is still kept, for checkers.
+    /// Writes that the history still holds, oldest first, for the checks of tests.
     const std::deque<Row>& history() const { return m_history; }
     TableVersion version() const { return m_version; }
 
@@ -84,7 +84,7 @@
     std::map<std::string, Row, std::less<>> m_rows;
     std::deque<Row> m_history;
     TableVersion m_version = 0;
-    TableVersion m_oldestKept = 0;
+    TableVersion m_newestDropped = 0;
 };
 
 } // namespace damask::standin
--- a/testsuite/waves/waves_test.cpp
+++ b/testsuite/waves/waves_test.cpp
@@ -36,7 +36,7 @@
         BOOST_REQUIRE(fleet.eventually([&] { return isServed(); }));
         BOOST_REQUIRE(fleet.eventually([&] { return !holder("pool/pricing").empty(); }));
         sent.clear();
-        base = fleet.runsById();
+        base = fleet.runCountsById();
     }
 
     json control(const std::string& vm, const std::string& command, const json& body)
@@ -119,11 +119,11 @@
     /// What must hold after each case.
     void checkAll()
     {
-        for (const auto& [id, runs] : fleet.runsById()) {
+        for (const auto& [id, runs] : fleet.runCountsById()) {
             if (sent.contains(id))
                 BOOST_TEST(runs == 1, id << " ran " << runs << " times");
         }
-        BOOST_TEST(fleet.runsById().size() - base.size() == sent.size());
+        BOOST_TEST(fleet.runCountsById().size() - base.size() == sent.size());
         checkHistory();
     }
 
