--- a/testsuite/badinput/badinput_test.cpp
+++ b/testsuite/badinput/badinput_test.cpp
@@ -1,5 +1,6 @@
-/// Wrong resources, through the real API and the real command line: one clear error that names the
-/// field, a fitting status, and nothing changed.
+/// \file
+/// Invalid resources through the real API and command line: the error names the field, the status is specific
+/// and nothing changes.
 #include "../harness/fleet.h"
 
 #include <boost/test/unit_test.hpp>
@@ -10,8 +11,8 @@
 
 namespace {
 
-struct Api {
-    Api()
+struct ApiFixture {
+    ApiFixture()
     {
         fleet.startEndpoints("east", { "e1", "e2" });
         fleet.startDaemon("a", "east");
@@ -20,15 +21,16 @@
         fleet.declarePool(admin, "pricing", { "e1", "e2" });
     }
 
-    CommandResult ctl(std::vector<std::string> words)
+    CommandResult runDamaskctl(std::vector<std::string> words)
     {
         words.insert(words.begin(), binary("damaskctl"));
         words.push_back("--server=" + http::toString(admin));
         return runCommand(words);
     }
 
-    /// Writes to rows of declared resources. Controllers write leases and statuses all the time.
-    std::size_t writes()
+    /// Number of writes to rows of declared resources. Other rows do not count, since controllers write
+    /// leases and statuses all the time.
+    std::size_t declaredWriteCount()
     {
         std::size_t count = 0;
         for (const auto& row : fleet.callJson(fleet.platform(), "GET", "/admin/history").second["rows"])
@@ -40,7 +42,7 @@
     Address admin;
 };
 
-struct Wrong {
+struct InvalidSpec {
     std::string plural;
     std::string name;
     json spec;
@@ -49,9 +51,9 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(wrongSpecsNameTheFieldAndChangeNothing, Api)
+BOOST_FIXTURE_TEST_CASE(invalidSpecsNameTheFieldAndChangeNothing, ApiFixture)
 {
-    const std::vector<Wrong> cases {
+    const std::vector<InvalidSpec> cases {
         { "pools", "Bad Name", json::object(), "name" },
         { "pools", "p", { { "slotsPerVm", 0 } }, "spec.slotsPerVm" },
         { "pools", "p", { { "colour", "red" } }, "spec.colour" },
@@ -81,25 +83,25 @@
             "spec.policy.colour" },
         { "configurations", "other", { { "routes", json::array() } }, "name" },
     };
-    const auto before = writes();
-    for (const auto& wrong : cases) {
-        const json body = { { "name", wrong.name }, { "spec", wrong.spec } };
-        const auto [status, answer] = fleet.callJson(admin, "POST", "/v1/" + wrong.plural, body);
-        BOOST_TEST(status == 422, wrong.field << " gave " << status);
+    const auto before = declaredWriteCount();
+    for (const auto& testCase : cases) {
+        const json body = { { "name", testCase.name }, { "spec", testCase.spec } };
+        const auto [status, answer] = fleet.callJson(admin, "POST", "/v1/" + testCase.plural, body);
+        BOOST_TEST(status == 422, testCase.field << " returned status " << status);
         BOOST_REQUIRE(answer.contains("fields"));
-        BOOST_TEST(answer["fields"][0]["field"] == wrong.field);
+        BOOST_TEST(answer["fields"][0]["field"] == testCase.field);
         BOOST_TEST(!answer["fields"][0]["allowed"].get<std::string>().empty());
     }
-    BOOST_TEST(writes() == before);
+    BOOST_TEST(declaredWriteCount() == before);
 }
 
-BOOST_FIXTURE_TEST_CASE(brokenRequestsHaveFittingStatuses, Api)
+BOOST_FIXTURE_TEST_CASE(invalidRequestsGetSpecificStatuses, ApiFixture)
 {
     auto status = [&](const std::string& method, const std::string& path, const std::string& body) {
-        const auto question = path.find('?');
+        const auto queryStart = path.find('?');
         auto result = fleet.call(admin,
-            { method, path.substr(0, question),
-                question == std::string::npos ? "" : path.substr(question + 1), {}, body });
+            { method, path.substr(0, queryStart),
+                queryStart == std::string::npos ? "" : path.substr(queryStart + 1), {}, body });
         return result ? result->status : 0;
     };
     BOOST_TEST(status("POST", "/v1/pools", "{") == 400);
@@ -115,31 +117,36 @@
     BOOST_TEST(status("GET", "/v1/watch?since=soon", "") == 422);
 }
 
-BOOST_FIXTURE_TEST_CASE(commandLineHasAnExitCodeForEachOutcome, Api)
+BOOST_FIXTURE_TEST_CASE(commandLineHasAnExitCodeForEachOutcome, ApiFixture)
 {
     BOOST_TEST(
-        ctl({ "create", "budget", "b", R"(--spec={"pool":"pricing","maxUnavailable":1})" }).exitCode == 0);
+        runDamaskctl({ "create", "budget", "b", R"(--spec={"pool":"pricing","maxUnavailable":1})" }).exitCode
+        == 0);
     BOOST_TEST(
-        ctl({ "create", "budget", "b", R"(--spec={"pool":"pricing","maxUnavailable":1})" }).exitCode == 4);
-    const auto invalid = ctl({ "create", "budget", "c", R"(--spec={"pool":"pricing","maxUnavailable":-1})" });
+        runDamaskctl({ "create", "budget", "b", R"(--spec={"pool":"pricing","maxUnavailable":1})" }).exitCode
+        == 4);
+    const auto invalid
+        = runDamaskctl({ "create", "budget", "c", R"(--spec={"pool":"pricing","maxUnavailable":-1})" });
     BOOST_TEST(invalid.exitCode == 5);
     BOOST_TEST(invalid.output.find("spec.maxUnavailable") != std::string::npos);
-    BOOST_TEST(ctl({ "get", "pool", "ghost" }).exitCode == 3);
-    BOOST_TEST(ctl({ "replace", "pool", "pricing", "--spec={}", "--resource_version=999999" }).exitCode == 4);
-    const auto listed = ctl({ "list", "vms" });
+    BOOST_TEST(runDamaskctl({ "get", "pool", "ghost" }).exitCode == 3);
+    BOOST_TEST(
+        runDamaskctl({ "replace", "pool", "pricing", "--spec={}", "--resource_version=999999" }).exitCode
+        == 4);
+    const auto listed = runDamaskctl({ "list", "vms" });
     BOOST_TEST(listed.exitCode == 0);
     BOOST_TEST(listed.output.find("NAME") != std::string::npos);
     BOOST_TEST(listed.output.find("e2") != std::string::npos);
-    BOOST_TEST(ctl({ "delete", "budget", "b" }).exitCode == 0);
+    BOOST_TEST(runDamaskctl({ "delete", "budget", "b" }).exitCode == 0);
 }
 
-BOOST_FIXTURE_TEST_CASE(watchShowsEachChangeFromAVersion, Api)
+BOOST_FIXTURE_TEST_CASE(watchShowsEachChangeSinceAVersion, ApiFixture)
 {
     const auto since
         = fleet.callJson(admin, "GET", "/v1/pools").second["resourceVersion"].get<std::uint64_t>();
     for (int i = 0; i < 3; ++i)
         fleet.create(admin, "pools", "extra-" + std::to_string(i), json::object());
-    const auto watched = ctl({ "watch", "pools", "--since=" + std::to_string(since), "--limit=3" });
+    const auto watched = runDamaskctl({ "watch", "pools", "--since=" + std::to_string(since), "--limit=3" });
     BOOST_TEST(watched.exitCode == 0);
     BOOST_TEST(watched.output.find("extra-0") < watched.output.find("extra-1"));
     BOOST_TEST(watched.output.find("extra-1") < watched.output.find("extra-2"));
--- a/testsuite/badinput/settings_test.cpp
+++ b/testsuite/badinput/settings_test.cpp
@@ -1,4 +1,5 @@
-/// Wrong settings and wrong command lines, through the real binaries.
+/// \file
+/// Invalid settings and command lines with the real binaries.
 #include "../harness/process.h"
 
 #include <boost/test/unit_test.hpp>
@@ -14,7 +15,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(daemonReportsEveryWrongSettingAtOnce)
+BOOST_AUTO_TEST_CASE(daemonReportsAllInvalidSettingsAtOnce)
 {
     const auto result
         = runCommand({ binary("damaskd"), "--node=Bad Name", "--listen=nowhere", "--poll_period_ms=99999",
@@ -29,7 +30,7 @@
         BOOST_TEST(contains(result.output, setting), setting << " is missing in:\n" << result.output);
 }
 
-BOOST_AUTO_TEST_CASE(flagWinsOverEnvironment)
+BOOST_AUTO_TEST_CASE(flagOverridesEnvironment)
 {
     const auto result = runCommand({ binary("damaskd"), "--print_settings", "--node=a", "--data_centre=east",
                                        "--platform=127.0.0.1:1", "--poll_period_ms=50" },
@@ -39,7 +40,7 @@
     BOOST_TEST(contains(result.output, "stop_timeout_ms=123\n"));
 }
 
-BOOST_AUTO_TEST_CASE(unusableTraceTargetIsReported)
+BOOST_AUTO_TEST_CASE(invalidTraceTargetIsReported)
 {
     const auto result = runCommand({ binary("damaskd"), "--node=a", "--data_centre=east",
         "--platform=127.0.0.1:1", "--listen=127.0.0.1:0", "--admin_listen=127.0.0.1:0",
@@ -60,10 +61,10 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(commandLineMistakesHaveExitCodeTwo)
+BOOST_AUTO_TEST_CASE(invalidCommandLinesHaveExitCodeTwo)
 {
     const std::string server = "--server=127.0.0.1:1";
-    const std::vector<std::vector<std::string>> mistakes {
+    const std::vector<std::vector<std::string>> invalidCommandLines {
         {},
         { "nonsense", server },
         { "get", "pool", server },
@@ -74,7 +75,7 @@
         { "create", "pool", "p", server, "--spec=[" },
         { "create", "pool", "p", server, "--file=/nonexistent" },
     };
-    for (const auto& words : mistakes) {
+    for (const auto& words : invalidCommandLines) {
         std::vector<std::string> arguments { binary("damaskctl") };
         arguments.insert(arguments.end(), words.begin(), words.end());
         const auto result = runCommand(arguments);
--- a/testsuite/config/model_test.cpp
+++ b/testsuite/config/model_test.cpp
@@ -1,6 +1,7 @@
-/// Configuration and membership under random interleavings of operators, cuts, freezes, replacements
-/// and lost answers. The checker reads only what operators were told, the table's history and each
-/// node's version over time.
+/// \file
+/// Configuration and membership under random interleavings of operator changes, disconnections, suspensions,
+/// replacements and lost responses. The checks use only the responses to operators, the history of the table
+/// and the version of each node over time.
 #include "../standins/fake_platform.h"
 
 #include <boost/test/unit_test.hpp>
@@ -19,28 +20,28 @@
 
 constexpr std::size_t nodeCount = 4;
 constexpr std::string_view key = "f/r/configuration/current";
-/// Longest wait between polls of a node that was cut off.
-constexpr int secondsBetweenPolls = 8;
-constexpr int boundSeconds = 19;
+/// Longest time between polls of a node that was disconnected from the platform.
+constexpr int pollIntervalSeconds = 8;
+constexpr int recoveryBoundSeconds = 19;
 
-/// What operators were told.
-struct Told {
+/// A change by an operator, and the response once there is one.
+struct OperatorChange {
     std::string value;
-    std::optional<PlatformResult<TableVersion>> answer;
+    std::optional<PlatformResult<TableVersion>> result;
 };
 
-struct World;
+struct SimulatedCluster;
 
-/// One process on one entry VM.
+/// One daemon process on one entry VM.
 struct Node {
-    Node(World& world, std::size_t slot);
+    Node(SimulatedCluster& cluster, std::size_t slot);
 
     void observeVersion()
     {
         const auto* row = mirror.find(key);
         const TableVersion version = row ? row->version : 0;
-        RC_ASSERT(version >= inForce);
-        inForce = version;
+        RC_ASSERT(version >= lastVersion);
+        lastVersion = version;
     }
     Heartbeat heartbeat()
     {
@@ -56,114 +57,118 @@
     Mirror mirror;
     Store store;
     damask::membership::State membership;
-    std::vector<RowSet> inbox; ///< from peers, under way
+    std::vector<RowSet> pendingRowSets; ///< sent by peers and not delivered yet
     std::uint64_t sequence = 0;
-    TableVersion inForce = 0;
-    bool isCutFromPlatform = false;
-    bool isCutFromPeers = false;
-    bool isFrozen = false;
+    TableVersion lastVersion = 0;
+    bool isDisconnectedFromPlatform = false;
+    bool isDisconnectedFromPeers = false;
+    bool isSuspended = false;
 };
 
-struct World {
-    World()
+struct SimulatedCluster {
+    SimulatedCluster()
     {
         (void)table->commit({ {}, { { std::string(key), "first" } } });
         for (std::size_t slot = 0; slot < nodeCount; ++slot)
-            replace(slot);
+            replaceNode(slot);
     }
 
-    void replace(std::size_t slot)
+    void replaceNode(std::size_t slot)
     {
-        // The earlier process stays as it is; its writes may still arrive.
+        // The replaced process is kept, since its delayed writes may still arrive.
         if (nodes[slot])
-            earlier.push_back(std::move(nodes[slot]));
+            replacedNodes.push_back(std::move(nodes[slot]));
         nodes[slot] = std::make_unique<Node>(*this, slot);
         nodes[slot]->mirror.start();
     }
 
-    void propose(Node& node)
+    void proposeChange(Node& node)
     {
         const auto* row = node.mirror.find(key);
         if (!row)
             return;
-        const auto index = told.size();
-        told.push_back({ "change " + std::to_string(index), {} });
+        const auto index = changes.size();
+        changes.push_back({ "change " + std::to_string(index), {} });
         node.store.commit(
-            { { { std::string(key), row->version } }, { { std::string(key), told[index].value } } },
-            [this, index](PlatformResult<TableVersion> result) { told[index].answer = std::move(result); });
+            { { { std::string(key), row->version } }, { { std::string(key), changes[index].value } } },
+            [this, index](
+                PlatformResult<TableVersion> committed) { changes[index].result = std::move(committed); });
     }
 
-    void decide(Node& node, Fate fate)
+    void completeRequest(Node& node, Fate outcome)
     {
         if (node.platform.waiting() > 0)
-            node.platform.decide(node.isCutFromPlatform ? Fate::LoseBefore : fate);
-        // Lets the store's timers run, which have no wait here.
+            node.platform.decide(node.isDisconnectedFromPlatform ? Fate::LoseBefore : outcome);
+        // Runs the timers of the store, whose delays are zero in this test.
         loop.runUntil([] { return false; }, 0ms);
     }
 
-    void exchange(Node& from, Node& to)
+    void exchangeHeartbeats(Node& from, Node& to)
     {
-        if (&from == &to || from.isCutFromPeers || to.isCutFromPeers || from.isFrozen || to.isFrozen)
+        if (&from == &to || from.isDisconnectedFromPeers || to.isDisconnectedFromPeers || from.isSuspended
+            || to.isSuspended)
             return;
-        hear(to, from);
-        hear(from, to);
+        receiveHeartbeat(to, from);
+        receiveHeartbeat(from, to);
     }
 
-    /// As the daemon does: a node that is cut off takes rows, another one polls.
-    void hear(Node& node, Node& sender)
+    /// Handles a heartbeat as the daemon does: if the sender has a newer table version, a node without the
+    /// table gets the rows from the sender, and any other node polls the table.
+    void receiveHeartbeat(Node& node, Node& sender)
     {
-        const auto heard = sender.heartbeat();
-        damask::membership::observe(node.membership, heard, clock.now());
-        if (heard.tableVersion <= node.mirror.version())
+        const auto received = sender.heartbeat();
+        damask::membership::observe(node.membership, received, clock.now());
+        if (received.tableVersion <= node.mirror.version())
             return;
         if (node.mirror.isCutOff())
-            node.inbox.push_back(sender.mirror.rowsSince(node.mirror.version()));
+            node.pendingRowSets.push_back(sender.mirror.rowsSince(node.mirror.version()));
         else
             node.mirror.pollNow();
     }
 
-    /// Rows that a peer sent arrive, in any order.
-    void takeRows(Node& node, std::size_t index)
+    /// Delivers one set of rows from a peer; \p index selects it, so sets arrive in any order.
+    void deliverRows(Node& node, std::size_t index)
     {
-        if (node.inbox.empty())
+        if (node.pendingRowSets.empty())
             return;
-        const auto at = node.inbox.begin() + static_cast<std::ptrdiff_t>(index % node.inbox.size());
+        const auto at
+            = node.pendingRowSets.begin() + static_cast<std::ptrdiff_t>(index % node.pendingRowSets.size());
         const auto rows = *at;
-        node.inbox.erase(at);
+        node.pendingRowSets.erase(at);
         node.mirror.take(rows);
     }
 
-    void step(std::uint8_t byte)
+    void runStep(std::uint8_t byte)
     {
         auto& node = *nodes[byte % nodeCount];
         const auto action = byte / nodeCount % 16;
         if (action == 0)
-            node.isFrozen = !node.isFrozen;
-        if (node.isFrozen)
+            node.isSuspended = !node.isSuspended;
+        if (node.isSuspended)
             return;
-        constexpr Fate fates[] = { Fate::LoseBefore, Fate::LoseAfter, Fate::Delay, Fate::Duplicate };
+        constexpr Fate faultOutcomes[] = { Fate::LoseBefore, Fate::LoseAfter, Fate::Delay, Fate::Duplicate };
         if (action == 1)
-            node.isCutFromPlatform = !node.isCutFromPlatform;
+            node.isDisconnectedFromPlatform = !node.isDisconnectedFromPlatform;
         if (action == 2)
-            node.isCutFromPeers = !node.isCutFromPeers;
+            node.isDisconnectedFromPeers = !node.isDisconnectedFromPeers;
         if (action == 3)
-            replace(byte % nodeCount);
+            replaceNode(byte % nodeCount);
         if (action == 4 || action == 5)
-            propose(node);
+            proposeChange(node);
         if (action == 6 || action == 7)
-            decide(node, fates[byte / 64U]);
+            completeRequest(node, faultOutcomes[byte / 64U]);
         if (action == 8 && node.platform.late() > 0)
             node.platform.arrive(0);
         if (action == 9 || action == 10)
-            exchange(node, *nodes[byte / 64U]);
+            exchangeHeartbeats(node, *nodes[byte / 64U]);
         if (action == 11)
             node.mirror.pollNow();
         if (action == 12 || action == 13)
-            takeRows(node, byte / 64U);
-        if (action == 14 && !earlier.empty())
-            exchange(*earlier[byte / 64U % earlier.size()], node);
+            deliverRows(node, byte / 64U);
+        if (action == 14 && !replacedNodes.empty())
+            exchangeHeartbeats(*replacedNodes[byte / 64U % replacedNodes.size()], node);
         if (action >= 12)
-            decide(node, Fate::Answer);
+            completeRequest(node, Fate::Answer);
     }
 
     void check()
@@ -173,36 +178,36 @@
         clock.advance(1s);
     }
 
-    /// All faults end; each node polls and meets a peer as the daemon does.
-    void calm()
+    /// Ends all faults; then each node polls and exchanges heartbeats with a peer as the daemon does.
+    void recover()
     {
         for (auto& node : nodes)
-            node->isCutFromPlatform = node->isCutFromPeers = node->isFrozen = false;
-        for (int second = 0; second < boundSeconds; ++second) {
+            node->isDisconnectedFromPlatform = node->isDisconnectedFromPeers = node->isSuspended = false;
+        for (int second = 0; second < recoveryBoundSeconds; ++second) {
             for (std::size_t slot = 0; slot < nodeCount; ++slot) {
                 auto& node = *nodes[slot];
-                if (second % secondsBetweenPolls == static_cast<int>(slot))
+                if (second % pollIntervalSeconds == static_cast<int>(slot))
                     node.mirror.pollNow();
-                exchange(node, *nodes[(slot + static_cast<std::size_t>(second)) % nodeCount]);
+                exchangeHeartbeats(node, *nodes[(slot + static_cast<std::size_t>(second)) % nodeCount]);
                 for (int i = 0; i < 100 && node.platform.waiting() > 0; ++i)
-                    decide(node, Fate::Answer);
-                while (!node.inbox.empty())
-                    takeRows(node, 0);
+                    completeRequest(node, Fate::Answer);
+                while (!node.pendingRowSets.empty())
+                    deliverRows(node, 0);
             }
             check();
         }
-        // Processes that were replaced wake at last.
-        for (auto& old : earlier) {
-            old->isCutFromPeers = old->isFrozen = false;
+        // Replaced processes resume last.
+        for (auto& old : replacedNodes) {
+            old->isDisconnectedFromPeers = old->isSuspended = false;
             for (auto& node : nodes)
-                exchange(*old, *node);
+                exchangeHeartbeats(*old, *node);
         }
         check();
     }
 
-    void arriveLate()
+    void deliverDelayedWrites()
     {
-        for (auto& node : earlier)
+        for (auto& node : replacedNodes)
             while (node->platform.late() > 0)
                 node->platform.arrive(0);
         for (auto& node : nodes)
@@ -215,26 +220,26 @@
     Metrics metrics;
     std::shared_ptr<TableModel> table = std::make_shared<TableModel>();
     std::uint64_t nextIncarnation = 1;
-    std::vector<Told> told;
-    std::vector<std::unique_ptr<Node>> earlier;
+    std::vector<OperatorChange> changes;
+    std::vector<std::unique_ptr<Node>> replacedNodes;
     std::array<std::unique_ptr<Node>, nodeCount> nodes;
 };
 
-Node::Node(World& world, std::size_t slot)
-    : platform(world.table)
-    , mirror(world.loop.base(), platform, world.clock, world.metrics, { "f/", 1h, "c", "" }, 1)
-    , store(world.loop.base(), platform, world.clock, world.metrics, std::to_string(slot),
-          world.nextIncarnation, { 3, 0ms, 4 })
+Node::Node(SimulatedCluster& cluster, std::size_t slot)
+    : platform(cluster.table)
+    , mirror(cluster.loop.base(), platform, cluster.clock, cluster.metrics, { "f/", 1h, "c", "" }, 1)
+    , store(cluster.loop.base(), platform, cluster.clock, cluster.metrics, std::to_string(slot),
+          cluster.nextIncarnation, { 3, 0ms, 4 })
 {
     membership.self = "node-" + std::to_string(slot);
-    // A process that ran for longer has a higher sequence.
-    sequence = 1000 / world.nextIncarnation;
-    membership.incarnation = world.nextIncarnation++;
+    // An older process has a higher sequence number.
+    sequence = 1000 / cluster.nextIncarnation;
+    membership.incarnation = cluster.nextIncarnation++;
 }
 
-int writesOf(const World& world, const std::string& value)
+int writesOf(const SimulatedCluster& cluster, const std::string& value)
 {
-    const auto& history = world.table->history();
+    const auto& history = cluster.table->history();
     return static_cast<int>(std::count_if(history.begin(), history.end(),
         [&](const Row& row) { return row.key == key && row.value == value; }));
 }
@@ -244,33 +249,34 @@
 RC_BOOST_PROP(
     acceptedConfigurationIsInForceEverywhereAndNeverReverts, (const std::vector<std::uint8_t>& steps))
 {
-    World world;
+    SimulatedCluster cluster;
     for (const auto step : steps) {
-        world.step(step);
-        world.check();
+        cluster.runStep(step);
+        cluster.check();
     }
-    world.arriveLate();
-    world.calm();
-    const auto present = world.table->row(key);
-    for (const auto& node : world.nodes) {
+    cluster.deliverDelayedWrites();
+    cluster.recover();
+    const auto current = cluster.table->row(key);
+    for (const auto& node : cluster.nodes) {
         const auto* row = node->mirror.find(key);
         RC_ASSERT(row != nullptr);
-        RC_ASSERT(row->version == present->version);
-        RC_ASSERT(row->value == present->value);
+        RC_ASSERT(row->version == current->version);
+        RC_ASSERT(row->value == current->value);
         for (const auto& [name, view] : node->membership.members)
             RC_ASSERT(name != node->membership.self);
-        for (const auto& other : world.nodes) {
+        for (const auto& other : cluster.nodes) {
             const auto& members = node->membership.members;
             auto seen = members.find(other->membership.self);
             if (seen != members.end())
                 RC_ASSERT(seen->second.heartbeat.incarnation == other->membership.incarnation);
         }
     }
-    for (const auto& one : world.told) {
-        const auto writes = writesOf(world, one.value);
-        if (!one.answer || (!*one.answer && one.answer->error().failure == PlatformFailure::OutcomeUnknown))
+    for (const auto& change : cluster.changes) {
+        const auto writes = writesOf(cluster, change.value);
+        if (!change.result
+            || (!*change.result && change.result->error().failure == PlatformFailure::OutcomeUnknown))
             RC_ASSERT(writes <= 1);
         else
-            RC_ASSERT(writes == (*one.answer ? 1 : 0));
+            RC_ASSERT(writes == (*change.result ? 1 : 0));
     }
 }
--- a/testsuite/config/relays.h
+++ b/testsuite/config/relays.h
@@ -1,5 +1,5 @@
 /// \file
-/// Daemons whose peer ports are reached through relays that the test can cut.
+/// Daemons that reach the peer ports of each other through relays, which the test can disconnect.
 #pragma once
 
 #include "../harness/fleet.h"
@@ -8,52 +8,53 @@
 
 namespace damask::harness {
 
-/// A fleet in which entry VMs reach each other through relays only.
+/// A fleet whose entry VMs reach each other only through relays.
 struct RelayedFleet {
     explicit RelayedFleet(std::size_t count)
         : relays({ binary("standin_relay"), std::to_string(count) })
     {
         const auto line = relays.waitForEvent("listening");
-        admin = { "127.0.0.1", static_cast<std::uint16_t>(std::stoi(Process::field(line, "port"))) };
-        std::stringstream list(Process::field(line, "ports"));
-        for (std::string port; std::getline(list, port, ',');)
-            free.push_back({ "127.0.0.1", static_cast<std::uint16_t>(std::stoi(port)) });
+        relayAdmin = { "127.0.0.1", static_cast<std::uint16_t>(std::stoi(Process::field(line, "port"))) };
+        std::stringstream ports(Process::field(line, "ports"));
+        for (std::string port; std::getline(ports, port, ',');)
+            relayAddresses.push_back({ "127.0.0.1", static_cast<std::uint16_t>(std::stoi(port)) });
     }
 
-    /// Starts a daemon behind the next relay, or behind its earlier one.
+    /// Starts a daemon behind the next free relay, or behind the relay that this node had before.
     DaemonHandle& start(const std::string& node, const std::string& dataCentre, int platformTimeoutMs = 300)
     {
-        if (!indexes.contains(node))
-            indexes[node] = indexes.size();
-        const auto relay = free.at(indexes[node]);
+        if (!relayIndexes.contains(node))
+            relayIndexes[node] = relayIndexes.size();
+        const auto relay = relayAddresses.at(relayIndexes[node]);
         std::string seeds;
-        for (const auto& address : free)
+        for (const auto& address : relayAddresses)
             seeds += (seeds.empty() ? "" : ",") + http::toString(address);
         auto& handle = fleet.startDaemon(node, dataCentre,
             { "--peer_advertise=" + http::toString(relay), "--peers=" + seeds,
                 "--platform_timeout_ms=" + std::to_string(platformTimeoutMs), "--snapshot_period_ms=500" });
-        targets[node] = handle.peers;
+        peerAddresses[node] = handle.peers;
         handle.peers = relay;
-        setPeersCut(node, false);
+        setPeersDisconnected(node, false);
         return handle;
     }
 
-    void setPeersCut(const std::string& node, bool isCut)
+    /// Cuts or restores the relay before the node's peer port, through which all peers reach the node.
+    void setPeersDisconnected(const std::string& node, bool isDisconnected)
     {
-        fleet.callJson(admin, "POST", "/admin/relays",
-            { { "relay", indexes.at(node) }, { "target", http::toString(targets.at(node)) },
-                { "cut", isCut } });
+        fleet.callJson(relayAdmin, "POST", "/admin/relays",
+            { { "relay", relayIndexes.at(node) }, { "target", http::toString(peerAddresses.at(node)) },
+                { "cut", isDisconnected } });
     }
 
-    /// Cuts every peer from every other one.
-    void setAllPeersCut(bool isCut)
+    /// Cuts or restores the relays of all nodes.
+    void setAllPeersDisconnected(bool isDisconnected)
     {
-        for (const auto& [node, index] : indexes)
-            setPeersCut(node, isCut);
+        for (const auto& [node, index] : relayIndexes)
+            setPeersDisconnected(node, isDisconnected);
     }
 
-    /// Cuts the nodes from the platform; none: ends the cut.
-    void cutPlatform(const std::vector<std::string>& nodes)
+    /// Disconnects exactly these nodes from the platform; an empty list reconnects all.
+    void disconnectFromPlatform(const std::vector<std::string>& nodes)
     {
         nlohmann::json clients = nlohmann::json::array();
         for (const auto& node : nodes)
@@ -76,10 +77,10 @@
 
     Fleet fleet;
     Process relays;
-    Address admin;
-    std::vector<Address> free;
-    std::map<std::string, std::size_t> indexes;
-    std::map<std::string, Address> targets;
+    Address relayAdmin;
+    std::vector<Address> relayAddresses;
+    std::map<std::string, std::size_t> relayIndexes;
+    std::map<std::string, Address> peerAddresses;
 };
 
 /// Declares one pool and the configuration of generation 1.
@@ -90,15 +91,15 @@
         { { "routes", { { { "prefix", "/pricing" }, { "pool", "pricing" } } } } });
 }
 
-/// Replaces the configuration by one with \p routes routes; returns the status and the answer.
+/// Replaces the configuration by one with \p routes routes; returns the status and the response body.
 inline std::pair<int, nlohmann::json> replaceConfiguration(Fleet& fleet, const Address& admin, int routes)
 {
-    const auto present = fleet.callJson(admin, "GET", "/v1/configurations/current").second;
+    const auto current = fleet.callJson(admin, "GET", "/v1/configurations/current").second;
     nlohmann::json list = nlohmann::json::array();
     for (int i = 0; i < routes; ++i)
         list.push_back({ { "prefix", "/pricing" + std::to_string(i) }, { "pool", "pricing" } });
     return fleet.callJson(admin, "PUT", "/v1/configurations/current",
-        { { "resourceVersion", present["resourceVersion"] }, { "spec", { { "routes", list } } } });
+        { { "resourceVersion", current["resourceVersion"] }, { "spec", { { "routes", list } } } });
 }
 
 } // namespace damask::harness
--- a/testsuite/demo/callers.cpp
+++ b/testsuite/demo/callers.cpp
@@ -16,12 +16,12 @@
     for (const auto& service : services)
         m_services.push_back(service.name);
     m_daemons = std::move(daemons);
-    m_again.startPeriodic(sendPeriod);
+    m_sendTimer.startPeriodic(sendPeriod);
 }
 
-void Callers::leaveOut(const std::string& daemon) { std::erase(m_daemons, daemon); }
+void Callers::stopUsing(const std::string& daemon) { std::erase(m_daemons, daemon); }
 
-void Callers::sendRound()
+void Callers::sendNext()
 {
     const auto& service = m_services[m_turn % m_services.size()];
     ++m_turn;
@@ -31,59 +31,59 @@
 void Callers::send(const std::string& service, const std::string& id)
 {
     const auto& node = m_daemons[m_turn % m_daemons.size()];
-    ++m_open;
-    ++m_seen[service].sent;
-    m_told[id].service = service;
+    ++m_openRequests;
+    ++m_countsByService[service].sent;
+    m_outcomesById[id].service = service;
     HttpRequest request { "POST", "/" + service, "", { { "X-Request-Id", id } }, "order " + id };
     m_fleet.client().send(
         m_fleet.daemon(node).callers, request, requestTimeout, [this, service, id](const HttpResult& result) {
-            --m_open;
-            take(service, id, result);
+            --m_openRequests;
+            recordResult(service, id, result);
         });
 }
 
-void Callers::take(const std::string& service, const std::string& id, const HttpResult& result)
+void Callers::recordResult(const std::string& service, const std::string& id, const HttpResult& result)
 {
-    auto& seen = m_seen[service];
+    auto& counts = m_countsByService[service];
     if (!result) {
-        // A connection that was refused ran nothing; anything else is a request that was cut.
-        result.error().bytesSent ? ++seen.cut : ++seen.notRun;
+        // If no bytes were sent, nothing ran. Otherwise the response was cut off.
+        result.error().bytesSent ? ++counts.cut : ++counts.notRun;
         return;
     }
     const std::string outcome(http::header(result->headers, "Damask-Outcome").value_or(""));
     if (outcome == "not-run") {
-        ++seen.notRun;
+        ++counts.notRun;
         return;
     }
     if (outcome == "unknown") {
-        ++seen.unknown;
-        ++m_told[id].unknown;
+        ++counts.unknown;
+        ++m_outcomesById[id].unknown;
         return;
     }
-    ++m_told[id].done;
+    ++m_outcomesById[id].done;
     const auto body = json::parse(result->body, nullptr, false);
-    const bool own = result->status == 200 && body.is_object() && body.value("id", "") == id;
-    own ? ++seen.done : ++seen.cut;
+    const bool isOwnResponse = result->status == 200 && body.is_object() && body.value("id", "") == id;
+    isOwnResponse ? ++counts.done : ++counts.cut;
 }
 
 bool Callers::finish()
 {
-    m_again.stop();
-    return m_fleet.loop().runUntil([this] { return m_open == 0; }, requestTimeout + 5s);
+    m_sendTimer.stop();
+    return m_fleet.loop().runUntil([this] { return m_openRequests == 0; }, requestTimeout + 5s);
 }
 
 std::vector<std::string> Callers::mismatches()
 {
     std::vector<std::string> out;
     auto runs = m_fleet.runCountsById();
-    for (const auto& [id, told] : m_told) {
+    for (const auto& [id, outcomes] : m_outcomesById) {
         const int ran = runs[id];
         if (ran > 1)
-            out.push_back("doubled: " + id + " ran " + std::to_string(ran) + " times");
-        if (told.done && ran == 0)
-            out.push_back("lost: " + id + " was told done and did not run");
-        if (!told.done && !told.unknown && ran > 0)
-            out.push_back("wrong: " + id + " was told not run and ran");
+            out.push_back("duplicated: " + id + " ran " + std::to_string(ran) + " times");
+        if (outcomes.done && ran == 0)
+            out.push_back("lost: " + id + " was reported as done but did not run");
+        if (!outcomes.done && !outcomes.unknown && ran > 0)
+            out.push_back("wrong: " + id + " was reported as not run but ran");
     }
     return out;
 }
--- a/testsuite/demo/callers.h
+++ b/testsuite/demo/callers.h
@@ -1,6 +1,5 @@
 /// \file
-/// Callers of the demo: send requests with an identity of their own through all daemons and keep
-/// what they were told.
+/// Callers of the demo. They send requests with unique ids through all daemons and record the outcomes.
 #pragma once
 
 #include "../harness/fleet.h"
@@ -18,13 +17,13 @@
     std::vector<std::string> vms;
 };
 
-/// What one service's callers saw.
-struct Seen {
+/// Numbers of outcomes that the callers of one service saw.
+struct OutcomeCounts {
     int sent = 0;
     int done = 0;
     int notRun = 0;
     int unknown = 0;
-    int cut = 0; ///< no whole answer, or an answer to another request
+    int cut = 0; ///< no complete response, or the response to another request
 };
 
 /// Callers of all services.
@@ -32,40 +31,40 @@
 public:
     explicit Callers(harness::Fleet& fleet)
         : m_fleet(fleet)
-        , m_again(fleet.loop().base(), [this] { sendRound(); })
+        , m_sendTimer(fleet.loop().base(), [this] { sendNext(); })
     {
     }
 
-    /// Starts to send one request a service and period, through the daemons in turn. Requests that
-    /// were not run are sent again, as the answer's Retry-After allows, through another daemon.
+    /// Starts to send one request per period, for the services in turn and through the daemons in turn.
     void start(const std::vector<Service>& services, std::vector<std::string> daemons);
-    /// No longer uses \p daemon, as a balancer does when it is told that the daemon is leaving.
-    void leaveOut(const std::string& daemon);
-    /// Stops sending and waits for all answers; false if some never came.
+    /// Stops sending through \p daemon, as a balancer does once the daemon announces that it stops.
+    void stopUsing(const std::string& daemon);
+    /// Stops sending and waits for all responses; returns false if one is missing.
     bool finish();
-    const std::map<std::string, Seen>& seen() const { return m_seen; }
-    /// Compares what callers were told with what endpoints ran; returns one line a mismatch.
+    const std::map<std::string, OutcomeCounts>& countsByService() const { return m_countsByService; }
+    /// Compares the outcomes with what the endpoints ran; returns one line per mismatch.
     std::vector<std::string> mismatches();
 
 private:
-    struct Told {
+    /// Outcomes of one request id.
+    struct RequestOutcomes {
         std::string service;
         int done = 0;
         int unknown = 0;
     };
-    void sendRound();
+    void sendNext();
     void send(const std::string& service, const std::string& id);
-    void take(const std::string& service, const std::string& id, const HttpResult& result);
+    void recordResult(const std::string& service, const std::string& id, const HttpResult& result);
 
     harness::Fleet& m_fleet;
-    Timer m_again;
+    Timer m_sendTimer;
     std::vector<std::string> m_services;
     std::vector<std::string> m_daemons;
-    std::map<std::string, Seen> m_seen;
-    std::map<std::string, Told> m_told;
+    std::map<std::string, OutcomeCounts> m_countsByService;
+    std::map<std::string, RequestOutcomes> m_outcomesById;
     std::size_t m_turn = 0;
     int m_nextId = 0;
-    int m_open = 0;
+    int m_openRequests = 0;
 };
 
 } // namespace damask::demo
--- a/testsuite/demo/demo.cpp
+++ b/testsuite/demo/demo.cpp
@@ -1,7 +1,7 @@
 /// \file
-/// The demo: a small fleet of both firms' services at work through a configuration change, a VM
-/// move, a maintenance wave and planned stops. Ends with `demo: ok` if no request was lost, doubled
-/// or cut.
+/// The demo: a small fleet runs the services of both firms during a configuration change, a VM move, a
+/// maintenance wave and planned stops. Prints `demo: ok` at the end if no request was lost, duplicated or cut
+/// off.
 #include "callers.h"
 
 #include <csignal>
@@ -31,13 +31,13 @@
         moveVm();
         runWave();
         stopDaemons();
-        return report();
+        return printReport();
     }
 
 private:
-    static void say(const std::string& line) { std::cout << "== " << line << std::endl; }
+    static void printStep(const std::string& line) { std::cout << "== " << line << std::endl; }
 
-    void require(bool condition, const std::string& what)
+    void check(bool condition, const std::string& what)
     {
         if (condition)
             return;
@@ -45,8 +45,8 @@
         std::cout << "FAILED: " << what << std::endl;
     }
 
-    /// Runs damaskctl as an operator would and shows what it prints.
-    CommandResult ctl(std::vector<std::string> words, bool shown = true)
+    /// Runs damaskctl as an operator would and prints its output if \p isShown.
+    CommandResult runDamaskctl(std::vector<std::string> words, bool isShown = true)
     {
         std::string line = "$ damaskctl";
         for (const auto& word : words)
@@ -54,14 +54,14 @@
         words.insert(words.begin(), binary("damaskctl"));
         words.push_back("--server=" + m_servers);
         auto result = runCommand(words);
-        if (shown)
+        if (isShown)
             std::cout << line << "\n" << result.output << std::flush;
         return result;
     }
 
     void start()
     {
-        say("starting 3 data centres: the platform, 24 endpoint VMs, 3 entry VMs");
+        printStep("starting 3 data centres: the platform, 24 endpoint VMs, 3 entry VMs");
         std::map<std::string, std::vector<std::string>> byCentre;
         std::size_t index = 0;
         for (const auto& [firm, names] : firms) {
@@ -86,27 +86,27 @@
 
     void declare()
     {
-        say("declaring pools, VMs, budgets and a configuration through damaskctl and the API");
+        printStep("declaring pools, VMs, budgets and a configuration through damaskctl and the API");
         json routes = json::array();
         const auto admin = m_fleet.daemon("entry-1").admin;
         for (const auto& service : m_services) {
-            const bool spare = service.name == "misc" || service.name == "backoffice";
-            m_fleet.declarePool(admin, service.name, service.vms, { { "spare", spare } });
+            const bool isSpare = service.name == "misc" || service.name == "backoffice";
+            m_fleet.declarePool(admin, service.name, service.vms, { { "spare", isSpare } });
             routes.push_back({ { "prefix", "/" + service.name }, { "pool", service.name } });
         }
         m_routes = routes;
-        const auto budget
-            = ctl({ "create", "budget", "pricing", R"(--spec={"pool":"pricing","maxUnavailable":1})" });
-        require(budget.exitCode == 0, "the budget was declared");
-        const auto configuration
-            = ctl({ "create", "configuration", "current", "--spec=" + json { { "routes", routes } }.dump() },
-                false);
-        require(configuration.exitCode == 0, "the configuration was declared");
-        require(inForce(1), "the first configuration is in force on all nodes");
-        ctl({ "list", "pools" });
+        const auto budget = runDamaskctl(
+            { "create", "budget", "pricing", R"(--spec={"pool":"pricing","maxUnavailable":1})" });
+        check(budget.exitCode == 0, "the budget was declared");
+        const auto configuration = runDamaskctl(
+            { "create", "configuration", "current", "--spec=" + json { { "routes", routes } }.dump() },
+            false);
+        check(configuration.exitCode == 0, "the configuration was declared");
+        check(waitUntilInForce(1), "the first configuration is in force on all nodes");
+        runDamaskctl({ "list", "pools" });
     }
 
-    bool inForce(std::uint64_t generation)
+    bool waitUntilInForce(std::uint64_t generation)
     {
         return m_fleet.eventually([&] {
             for (const auto* node : { "entry-1", "entry-2", "entry-3" }) {
@@ -120,17 +120,17 @@
 
     void changeConfiguration()
     {
-        say("an operator replaces the configuration while callers go on");
+        printStep("an operator replaces the configuration while callers keep sending");
         auto routes = m_routes;
         routes.push_back({ { "prefix", "/quotes" }, { "pool", "pricing" } });
-        require(
-            ctl({ "replace", "configuration", "current", "--spec=" + json { { "routes", routes } }.dump() },
-                false)
+        check(runDamaskctl(
+                  { "replace", "configuration", "current", "--spec=" + json { { "routes", routes } }.dump() },
+                  false)
                     .exitCode
                 == 0,
             "the configuration was replaced");
-        require(inForce(2), "the second configuration is in force on all nodes");
-        ctl({ "rollout" });
+        check(waitUntilInForce(2), "the second configuration is in force on all nodes");
+        runDamaskctl({ "rollout" });
     }
 
     std::string poolOf(const std::string& vm)
@@ -144,26 +144,27 @@
 
     void moveVm()
     {
-        say("one VM moves from the spare pool misc to pricing");
-        require(ctl({ "move", "misc-1", "pricing" }).exitCode == 0, "the move was asked for");
-        require(m_fleet.eventually([&] { return poolOf("misc-1") == "pricing"; }, 30s),
+        printStep("one VM moves from the spare pool misc to pricing");
+        check(runDamaskctl({ "move", "misc-1", "pricing" }).exitCode == 0, "the move was requested");
+        check(m_fleet.eventually([&] { return poolOf("misc-1") == "pricing"; }, 30s),
             "misc-1 is in service in pricing");
-        ctl({ "get", "vm", "misc-1" });
+        runDamaskctl({ "get", "vm", "misc-1" });
     }
 
     void runWave()
     {
-        say("a maintenance wave over pricing, at most one VM unavailable");
-        require(ctl({ "create", "wave", "kernel-update", R"(--spec={"pool":"pricing"})" }).exitCode == 0,
+        printStep("a maintenance wave over pricing, at most one VM unavailable");
+        check(
+            runDamaskctl({ "create", "wave", "kernel-update", R"(--spec={"pool":"pricing"})" }).exitCode == 0,
             "the wave was declared");
-        Process view({ binary("damaskctl"), "wave", "kernel-update", "--server=" + m_servers });
-        require(m_fleet.eventually([&] { return waveEnded(); }, 60s), "the wave has ended");
-        const int code = view.wait();
-        std::cout << view.remainingOutput();
-        require(code == 0, "the wave has finished");
+        Process waveCommand({ binary("damaskctl"), "wave", "kernel-update", "--server=" + m_servers });
+        check(m_fleet.eventually([&] { return isWaveFinished(); }, 60s), "the wave has finished within 60 s");
+        const int code = waveCommand.wait();
+        std::cout << waveCommand.remainingOutput();
+        check(code == 0, "damaskctl reports the wave as finished");
     }
 
-    bool waveEnded()
+    bool isWaveFinished()
     {
         const auto body
             = m_fleet.callJson(m_fleet.daemon("entry-2").admin, "GET", "/v1/waves/kernel-update").second;
@@ -173,50 +174,51 @@
     void stopDaemons()
     {
         for (const auto* node : { "entry-1", "entry-2", "entry-3" }) {
-            say(std::string("planned stop of ") + node);
+            printStep(std::string("planned stop of ") + node);
             auto& process = *m_fleet.daemon(node).process;
             process.signal(SIGTERM);
-            const bool last = std::string_view(node) == "entry-3";
-            if (last)
-                require(m_callers.finish(), "every caller got an answer");
+            const bool isLast = std::string_view(node) == "entry-3";
+            if (isLast)
+                check(m_callers.finish(), "every caller got a response");
             else
-                m_fleet.eventually([&] { return leaving(node); });
-            if (!last)
-                m_callers.leaveOut(node);
+                m_fleet.eventually([&] { return isAnnouncedAsStopping(node); });
+            if (!isLast)
+                m_callers.stopUsing(node);
             m_fleet.eventually([&] { return process.hasEnded(); }, 40s);
-            require(process.wait() == 0, std::string(node) + " stopped without cutting a request");
+            check(process.wait() == 0, std::string(node) + " stopped without interrupting a request");
         }
     }
 
-    /// Whether the balancer has been told.
-    bool leaving(const std::string& node)
+    /// Whether the daemon has told the balancer that it accepts no more requests.
+    bool isAnnouncedAsStopping(const std::string& node)
     {
         const auto announced
             = m_fleet.callJson(m_fleet.platform(), "GET", "/admin/history").second["announcements"];
         return announced.contains(node) && announced[node] == false;
     }
 
-    bool report()
+    bool printReport()
     {
-        demo::Seen total;
+        demo::OutcomeCounts total;
         std::cout << "\nservice      sent  done  not-run  unknown  cut\n";
-        for (const auto& [service, seen] : m_callers.seen()) {
-            std::printf("%-12s %4d  %4d  %7d  %7d  %3d\n", service.c_str(), seen.sent, seen.done, seen.notRun,
-                seen.unknown, seen.cut);
-            total.sent += seen.sent;
-            total.done += seen.done;
-            total.notRun += seen.notRun;
-            total.unknown += seen.unknown;
-            total.cut += seen.cut;
+        for (const auto& [service, counts] : m_callers.countsByService()) {
+            std::printf("%-12s %4d  %4d  %7d  %7d  %3d\n", service.c_str(), counts.sent, counts.done,
+                counts.notRun, counts.unknown, counts.cut);
+            total.sent += counts.sent;
+            total.done += counts.done;
+            total.notRun += counts.notRun;
+            total.unknown += counts.unknown;
+            total.cut += counts.cut;
         }
         const auto mismatches = m_callers.mismatches();
         for (const auto& line : mismatches)
             std::cout << line << "\n";
-        const bool ok = m_failures.empty() && mismatches.empty() && total.cut == 0 && total.unknown == 0;
-        std::cout << "demo: " << (ok ? "ok" : "FAILED") << " sent=" << total.sent << " done=" << total.done
-                  << " not_run=" << total.notRun << " unknown=" << total.unknown << " cut=" << total.cut
-                  << " mismatches=" << mismatches.size() << std::endl;
-        return ok;
+        const bool hasPassed
+            = m_failures.empty() && mismatches.empty() && total.cut == 0 && total.unknown == 0;
+        std::cout << "demo: " << (hasPassed ? "ok" : "FAILED") << " sent=" << total.sent
+                  << " done=" << total.done << " not_run=" << total.notRun << " unknown=" << total.unknown
+                  << " cut=" << total.cut << " mismatches=" << mismatches.size() << std::endl;
+        return hasPassed;
     }
 
     Fleet m_fleet;
--- a/testsuite/jobs/jobs_system_test.cpp
+++ b/testsuite/jobs/jobs_system_test.cpp
@@ -1,4 +1,5 @@
-/// Jobs on real processes: declared by the API, placed, run, preempted, cancelled.
+/// \file
+/// Jobs on real processes: created through the API, placed, run, preempted and cancelled.
 #include "../harness/fleet.h"
 
 #include <boost/test/unit_test.hpp>
@@ -12,14 +13,14 @@
 
 namespace {
 
-const std::vector<std::string> fastFlags { "--report_period_ms=100", "--lease_ms=1500" };
+const std::vector<std::string> shortPeriodFlags { "--report_period_ms=100", "--lease_ms=1500" };
 
-struct Jobs {
-    Jobs()
+struct JobFixture {
+    JobFixture()
     {
         fleet.startEndpoints("east", { "e1", "e2" });
-        fleet.startDaemon("a", "east", fastFlags);
-        fleet.startDaemon("b", "east", fastFlags);
+        fleet.startDaemon("a", "east", shortPeriodFlags);
+        fleet.startDaemon("b", "east", shortPeriodFlags);
         fleet.publishList();
         admin = fleet.daemon("a").admin;
         fleet.declarePool(admin, "imaging", { "e1", "e2" });
@@ -38,7 +39,7 @@
         return fleet.callJson(admin, "GET", "/v1/jobs/" + job).second.value("status", json::object());
     }
 
-    bool reaches(const std::string& job, const std::string& phase, std::chrono::milliseconds limit = 20s)
+    bool reachesPhase(const std::string& job, const std::string& phase, std::chrono::milliseconds limit = 20s)
     {
         return fleet.eventually([&] { return status(job).value("phase", "") == phase; }, limit);
     }
@@ -52,8 +53,8 @@
         BOOST_REQUIRE(fleet.callJson(admin, "PUT", "/v1/jobs/" + job, change).first == 200);
     }
 
-    /// Tasks that the endpoints started for the job.
-    int starts(const std::string& job)
+    /// Number of tasks that the endpoints started for the job.
+    int startCount(const std::string& job)
     {
         int count = 0;
         for (auto id : { "e1", "e2" }) {
@@ -69,61 +70,61 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(jobRunsOnceAndFinishes, Jobs)
+BOOST_FIXTURE_TEST_CASE(jobRunsOnceAndFinishes, JobFixture)
 {
     declare("wipe", 1, "finish 200");
-    BOOST_TEST(reaches("wipe", "succeeded"), status("wipe").dump());
-    BOOST_TEST(starts("wipe") == 1);
+    BOOST_TEST(reachesPhase("wipe", "succeeded"), status("wipe").dump());
+    BOOST_TEST(startCount("wipe") == 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(jobThatCanNeverRunSaysSoAndBlocksNothing, Jobs)
+BOOST_FIXTURE_TEST_CASE(unschedulableJobIsReportedAndDoesNotBlockOthers, JobFixture)
 {
     declare("huge", 1000, "finish 1", "urgent");
     declare("small", 1, "finish 1", "low");
-    BOOST_TEST(reaches("huge", "unschedulable"));
+    BOOST_TEST(reachesPhase("huge", "unschedulable"));
     BOOST_TEST(status("huge")["conditions"].at(0) == "larger than any VM of pool imaging");
-    BOOST_TEST(reaches("small", "succeeded"), status("small").dump());
+    BOOST_TEST(reachesPhase("small", "succeeded"), status("small").dump());
 }
 
-BOOST_FIXTURE_TEST_CASE(badJobFailsAfterItsAttempts, Jobs)
+BOOST_FIXTURE_TEST_CASE(failingJobFailsAfterItsLastAttempt, JobFixture)
 {
     declare("broken", 1, "fail 1");
-    BOOST_TEST(reaches("broken", "failed"), status("broken").dump());
-    BOOST_TEST(starts("broken") == 3);
+    BOOST_TEST(reachesPhase("broken", "failed"), status("broken").dump());
+    BOOST_TEST(startCount("broken") == 3);
 }
 
-BOOST_FIXTURE_TEST_CASE(cancelledJobsEnd, Jobs)
+BOOST_FIXTURE_TEST_CASE(cancelledJobsReachTheCancelledPhase, JobFixture)
 {
     for (auto name : { "x", "y", "z" })
         declare(name, 12, "run");
-    BOOST_TEST((reaches("x", "running") && reaches("y", "running")));
+    BOOST_TEST((reachesPhase("x", "running") && reachesPhase("y", "running")));
     for (auto name : { "x", "y", "z" })
         cancel(name);
     for (auto name : { "x", "y", "z" })
-        BOOST_TEST(reaches(name, "cancelled"), status(name).dump());
+        BOOST_TEST(reachesPhase(name, "cancelled"), status(name).dump());
 }
 
-BOOST_FIXTURE_TEST_CASE(urgentJobStartsInTimeInPlaceOfLowerWork, Jobs)
+BOOST_FIXTURE_TEST_CASE(urgentJobPreemptsLowerPriorityJobsInTime, JobFixture)
 {
     declare("low-a", 16, "run", "low");
     declare("low-b", 16, "run", "low");
-    BOOST_REQUIRE((reaches("low-a", "running") && reaches("low-b", "running")));
+    BOOST_REQUIRE((reachesPhase("low-a", "running") && reachesPhase("low-b", "running")));
     declare("recall", 16, "finish 100000", "urgent");
-    BOOST_TEST(fleet.eventually([&] { return starts("recall") == 1; }, 3600ms), status("recall").dump());
-    BOOST_TEST(reaches("recall", "running"));
-    BOOST_TEST((reaches("low-a", "queued", 1s) || reaches("low-b", "queued", 1s)));
+    BOOST_TEST(fleet.eventually([&] { return startCount("recall") == 1; }, 3600ms), status("recall").dump());
+    BOOST_TEST(reachesPhase("recall", "running"));
+    BOOST_TEST((reachesPhase("low-a", "queued", 1s) || reachesPhase("low-b", "queued", 1s)));
 }
 
-BOOST_FIXTURE_TEST_CASE(jobRunsOnceAlthoughTheHolderIsPaused, Jobs)
+BOOST_FIXTURE_TEST_CASE(jobRunsOnceAlthoughTheLeaseHolderIsSuspended, JobFixture)
 {
     declare("long", 1, "finish 6000");
-    BOOST_REQUIRE(reaches("long", "running"));
+    BOOST_REQUIRE(reachesPhase("long", "running"));
     fleet.daemon("a").process->signal(SIGSTOP);
     admin = fleet.daemon("b").admin;
     declare("next", 1, "finish 100");
-    BOOST_TEST(reaches("next", "succeeded"), status("next").dump());
+    BOOST_TEST(reachesPhase("next", "succeeded"), status("next").dump());
     fleet.daemon("a").process->signal(SIGCONT);
-    BOOST_TEST(reaches("long", "succeeded"), status("long").dump());
-    BOOST_TEST(starts("long") == 1);
-    BOOST_TEST(starts("next") == 1);
+    BOOST_TEST(reachesPhase("long", "succeeded"), status("long").dump());
+    BOOST_TEST(startCount("long") == 1);
+    BOOST_TEST(startCount("next") == 1);
 }
--- a/testsuite/jobs/move_system_test.cpp
+++ b/testsuite/jobs/move_system_test.cpp
@@ -1,4 +1,5 @@
-/// A VM of the spare pool moves to a pool whose demand exceeds what it holds, on real processes.
+/// \file
+/// A VM of a spare pool moves to a pool whose demand exceeds its capacity, on real processes.
 #include "../harness/fleet.h"
 
 #include <boost/test/unit_test.hpp>
@@ -18,7 +19,7 @@
         { "policy", { { "move", { { "name", "reactive" } } } } } };
 }
 
-json statusOf(Fleet& fleet, const std::string& vm)
+json vmStatus(Fleet& fleet, const std::string& vm)
 {
     const auto answer = fleet.callJson(fleet.daemon("a").admin, "GET", "/v1/vms/" + vm).second;
     return answer.value("status", json::object());
@@ -26,7 +27,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(spareVmMovesToThePoolInNeedAndServesIt)
+BOOST_AUTO_TEST_CASE(spareVmMovesToTheOverloadedPoolAndServesIt)
 {
     Fleet fleet;
     fleet.startEndpoints("east", { "p1", "m1", "m2", "m3" });
@@ -43,19 +44,19 @@
     };
     BOOST_REQUIRE(fleet.eventually(isServed));
     fleet.call(fleet.endpoint("p1").address, { "POST", "/_control/mode", "", {}, R"({"mode":"hang"})" });
-    int answers = 0;
+    int responseCount = 0;
     for (int i = 0; i < requestsInFlight; ++i)
-        fleet.client().send(
-            fleet.daemon("a").callers, { .path = "/pricing" }, 20s, [&](const HttpResult&) { ++answers; });
-    const auto movedVms = [&] {
-        int moved = 0;
+        fleet.client().send(fleet.daemon("a").callers, { .path = "/pricing" }, 20s,
+            [&](const HttpResult&) { ++responseCount; });
+    const auto movedVmCount = [&] {
+        int count = 0;
         for (auto vm : { "m1", "m2", "m3" }) {
-            const auto status = statusOf(fleet, vm);
-            moved += status.value("pool", "") == "pricing" && status.value("phase", "") == "in_service";
+            const auto status = vmStatus(fleet, vm);
+            count += status.value("pool", "") == "pricing" && status.value("phase", "") == "in_service";
         }
-        return moved;
+        return count;
     };
-    BOOST_TEST(fleet.eventually([&] { return movedVms() >= 1; }),
-        statusOf(fleet, "m1").dump() << statusOf(fleet, "m2").dump() << statusOf(fleet, "m3").dump());
-    BOOST_TEST(fleet.eventually([&] { return answers == requestsInFlight; }, 30s));
+    BOOST_TEST(fleet.eventually([&] { return movedVmCount() >= 1; }),
+        vmStatus(fleet, "m1").dump() << vmStatus(fleet, "m2").dump() << vmStatus(fleet, "m3").dump());
+    BOOST_TEST(fleet.eventually([&] { return responseCount == requestsInFlight; }, 30s));
 }
--- a/testsuite/path/path_test.cpp
+++ b/testsuite/path/path_test.cpp
@@ -1,4 +1,5 @@
-/// The whole path on real processes: callers, three daemons in two data centres, endpoints and the
+/// \file
+/// The complete request path on real processes: callers, three daemons in two data centres, endpoints and the
 /// platform.
 #include "../harness/fleet.h"
 
@@ -12,8 +13,8 @@
 
 namespace {
 
-struct Path {
-    Path()
+struct FullPathFixture {
+    FullPathFixture()
     {
         fleet.startEndpoints("east", { "e1", "e2" });
         fleet.startEndpoints("west", { "w1" });
@@ -25,10 +26,11 @@
         fleet.declarePool(admin, "pricing", { "e1", "e2", "w1" });
         fleet.create(admin, "configurations", "current",
             { { "routes", { { { "prefix", "/pricing" }, { "pool", "pricing" } } } } });
-        BOOST_REQUIRE(fleet.eventually([&] { return everywhere(1); }));
+        BOOST_REQUIRE(fleet.eventually([&] { return isInForceEverywhere(1); }));
     }
 
-    bool everywhere(std::uint64_t generation)
+    /// Whether every daemon reports the generation as in force on all three nodes.
+    bool isInForceEverywhere(std::uint64_t generation)
     {
         for (auto node : { "a", "b", "c" }) {
             const auto rollout
@@ -49,7 +51,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(requestIsServedThroughEachDaemon, Path)
+BOOST_FIXTURE_TEST_CASE(requestIsServedThroughEachDaemon, FullPathFixture)
 {
     for (auto node : { "a", "b", "c" }) {
         HttpRequest request { "POST", "/pricing/quote", "", { { "X-Request-Id", node } }, "cake" };
@@ -63,7 +65,7 @@
         BOOST_TEST(runs == 1, id << " ran " << runs << " times");
 }
 
-BOOST_FIXTURE_TEST_CASE(unknownPathIsNotRun, Path)
+BOOST_FIXTURE_TEST_CASE(unknownPathIsNotRun, FullPathFixture)
 {
     auto result = fleet.call(fleet.daemon("a").callers, { .path = "/nowhere" });
     BOOST_REQUIRE(result);
@@ -71,7 +73,7 @@
     BOOST_TEST(std::string(*http::header(result->headers, "Damask-Outcome")) == "not-run");
 }
 
-BOOST_FIXTURE_TEST_CASE(racingOperatorsOneWinsTheOtherSeesThePresentVersion, Path)
+BOOST_FIXTURE_TEST_CASE(conflictingUpdateIsRefusedWithTheCurrentVersion, FullPathFixture)
 {
     auto [status, pool] = fleet.callJson(fleet.daemon("a").admin, "GET", "/v1/pools/pricing");
     BOOST_REQUIRE(status == 200);
@@ -83,7 +85,7 @@
     BOOST_TEST(body["presentVersion"].get<std::uint64_t>() > pool["resourceVersion"].get<std::uint64_t>());
 }
 
-BOOST_FIXTURE_TEST_CASE(plannedStopEndsCleanly, Path)
+BOOST_FIXTURE_TEST_CASE(plannedStopExitsWithCodeZero, FullPathFixture)
 {
     fleet.daemon("b").process->signal(SIGTERM);
     BOOST_TEST(fleet.daemon("b").process->wait() == 0);
--- a/testsuite/requests/leaving_test.cpp
+++ b/testsuite/requests/leaving_test.cpp
@@ -1,4 +1,6 @@
-/// P6: a leaving endpoint gets no new work after 5 s, by any one of the signs that it leaves.
+/// \file
+/// Guarantee P6: a leaving endpoint gets no new requests after 5 s, whichever signal shows that it leaves:
+/// the VM list, its own refusals or its status row.
 #include "requests_fixture.h"
 
 #include <csignal>
@@ -10,87 +12,89 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds target = 5s;
+constexpr std::chrono::milliseconds removalBound = 5s;
 
-struct Leaving : Edge {
-    Leaving()
+struct LeavingFixture : RequestFixture {
+    LeavingFixture()
     {
         declare("e1", fleet.endpoint("e1").address);
         declare("e2", fleet.endpoint("e2").address);
-        BOOST_REQUIRE(fleet.eventually([&] { return gets("e1") && gets("e2"); }));
-        // A VM that the list has never shown may be new and gets work, so it can't go missing yet.
-        BOOST_REQUIRE(fleet.eventually([&] { return eachShows("damask_listed_vms 4"); }));
+        BOOST_REQUIRE(fleet.eventually([&] { return receivesRequests("e1") && receivesRequests("e2"); }));
+        // An entry VM routes to a VM that its list has never contained, since that VM may be new. Only a VM
+        // that was listed before counts as missing.
+        BOOST_REQUIRE(fleet.eventually([&] { return bothMetricsContain("damask_listed_vms 4"); }));
     }
 
-    /// Whether one of some requests goes to the endpoint. The endpoint's own records are read.
-    bool gets(const std::string& endpoint)
+    /// Whether at least one of several requests reaches the endpoint, by the endpoint's own records.
+    bool receivesRequests(const std::string& endpoint)
     {
         const auto before = fleet.runsOf(endpoint).size();
-        // Sent together: one at a time, all may rightly go to the endpoint with the lower latency.
-        constexpr int requests = 8;
+        // Sent concurrently: sequential requests may all go to the endpoint with the lower latency.
+        constexpr int sent = 8;
         int ended = 0;
-        for (int i = 0; i < requests; ++i)
+        for (int i = 0; i < sent; ++i)
             fleet.client().send(fleet.daemon(i % 2 ? "a" : "b").callers, { "GET", "/pricing/x" }, 10s,
                 [&](const HttpResult&) { ++ended; });
-        fleet.loop().runUntil([&] { return ended == requests; }, 15s);
+        fleet.loop().runUntil([&] { return ended == sent; }, 15s);
         return fleet.runsOf(endpoint).size() > before;
     }
 
-    /// Whether each entry VM's own metrics have the line. They read the list apart from each other.
-    bool eachShows(const std::string& line)
+    /// Whether the metrics of both entry VMs contain the line. Each entry VM reads the list independently.
+    bool bothMetricsContain(const std::string& line)
     {
-        const auto shows = [&](const char* node) {
+        const auto containsLine = [&](const char* node) {
             const auto result = fleet.call(fleet.daemon(node).admin, { "GET", "/metrics" });
             return result && result->body.find("\n" + line + "\n") != std::string::npos;
         };
-        return shows("a") && shows("b");
+        return containsLine("a") && containsLine("b");
     }
 
-    bool eachSendsTo(int count)
+    /// Whether both entry VMs route to this number of endpoints.
+    bool bothRouteTo(int count)
     {
-        return eachShows("damask_pool_endpoints{pool=\"pricing\"} " + std::to_string(count));
+        return bothMetricsContain("damask_pool_endpoints{pool=\"pricing\"} " + std::to_string(count));
     }
 };
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(vmMissingFromTheListGetsNoNewWork, Leaving)
+BOOST_FIXTURE_TEST_CASE(vmMissingFromTheListGetsNoNewRequests, LeavingFixture)
 {
     fleet.publishList({ "e2" });
-    BOOST_TEST(fleet.eventually([&] { return eachSendsTo(1); }, target));
+    BOOST_TEST(fleet.eventually([&] { return bothRouteTo(1); }, removalBound));
     for (int i = 0; i < 5; ++i)
-        BOOST_TEST(!gets("e2"));
+        BOOST_TEST(!receivesRequests("e2"));
     fleet.publishList();
-    BOOST_TEST(fleet.eventually([&] { return gets("e2"); }));
+    BOOST_TEST(fleet.eventually([&] { return receivesRequests("e2"); }));
 }
 
-BOOST_FIXTURE_TEST_CASE(vmThatDeclinesIsNotAskedForEachRequest, Edge)
+BOOST_FIXTURE_TEST_CASE(refusingVmIsNotTriedForEachRequest, RequestFixture)
 {
-    // The only endpoint of its pool, so that nothing else keeps work away from it.
-    int asked = 0;
-    RawEndpoint declining(fleet.loop().base(), [&](const auto& connection, const std::string&) {
-        ++asked;
+    // The pool has no other endpoint to which requests could go instead.
+    int requestCount = 0;
+    RawEndpoint refusingEndpoint(fleet.loop().base(), [&](const auto& connection, const std::string&) {
+        ++requestCount;
         connection->send("HTTP/1.1 503 Leaving\r\nDamask-Outcome: not-run\r\nContent-Length: 0\r\n\r\n");
     });
-    declare("raw", declining.address());
+    declare("raw", refusingEndpoint.address());
     fleet.eventually([] { return false; }, 1500ms);
-    asked = 0;
+    requestCount = 0;
     const auto begin = std::chrono::steady_clock::now();
     for (int i = 0; i < 50; ++i) {
         const auto response = get("a", "/pricing/x");
         BOOST_TEST(outcomeOf(response) == "not-run");
-        BOOST_TEST(saysWhenToRetry(response));
+        BOOST_TEST(hasRetryAfter(response));
     }
     const auto seconds = std::chrono::duration<double>(std::chrono::steady_clock::now() - begin).count();
-    // One try for each pause of a second, and one more at the start.
-    BOOST_TEST(asked <= 2 + static_cast<int>(seconds));
+    // One attempt per pause of one second, and one more at the start.
+    BOOST_TEST(requestCount <= 2 + static_cast<int>(seconds));
 }
 
-BOOST_FIXTURE_TEST_CASE(wokenEntryVmSendsNothingByItsOldList, Leaving)
+BOOST_FIXTURE_TEST_CASE(resumedEntryVmDoesNotRouteByItsStaleList, LeavingFixture)
 {
     fleet.daemon("a").process->signal(SIGSTOP);
     fleet.publishList({ "e2" });
-    // The drain mark of the status row is written while the entry VM is frozen.
+    // The status row is set to draining while the entry VM is suspended.
     const auto [status, vm] = fleet.callJson(fleet.daemon("b").admin, "GET", "/v1/vms/e2");
     BOOST_REQUIRE(status == 200);
     fleet.callJson(fleet.platform(), "POST", "/table/commit",
@@ -103,7 +107,7 @@
             == "draining";
     }));
     const auto before = fleet.runsOf("e2").size();
-    // Requests wait in the frozen process's sockets and are read at once when it wakes.
+    // Requests queue in the sockets of the suspended process, which reads them as soon as it resumes.
     int answered = 0;
     int refused = 0;
     for (int i = 0; i < 40; ++i) {
@@ -113,11 +117,11 @@
             refused += result->status == 503;
             if (result->status == 503) {
                 BOOST_TEST(outcomeOf(*result) == "not-run");
-                BOOST_TEST(saysWhenToRetry(*result));
+                BOOST_TEST(hasRetryAfter(*result));
             }
         });
     }
-    fleet.eventually([] { return false; }, target);
+    fleet.eventually([] { return false; }, removalBound);
     fleet.setPlatformFaults({ { "table", "slow" }, { "slowMs", 300 } });
     fleet.daemon("a").process->signal(SIGCONT);
     BOOST_TEST(fleet.eventually([&] { return answered == 40; }));
--- a/testsuite/requests/request_matrix_test.cpp
+++ b/testsuite/requests/request_matrix_test.cpp
@@ -1,5 +1,6 @@
-/// The fault matrix of a request on real processes: each fault at each step that it can meet. The
-/// checks read what the caller got and what the endpoint received, and nothing of the daemon's own.
+/// \file
+/// Fault matrix of a request on real processes: each fault at each step of the request at which it can occur.
+/// The checks use only what the caller and the endpoint received, and no state of the daemon.
 #include "requests_fixture.h"
 
 #include <damaskworks/names.h>
@@ -26,107 +27,115 @@
     { Step::Close, "close" },
 } };
 
-enum class Fault { CallerCut, EndpointCut, EndpointFreeze, EntryKill, EntryFreeze, PlatformDown };
+enum class Fault {
+    CallerDisconnect,
+    EndpointDisconnect,
+    EndpointSuspend,
+    EntryKill,
+    EntrySuspend,
+    PlatformDown
+};
 constexpr NameTable<Fault, 6> faultNames { {
-    { Fault::CallerCut, "caller cut" },
-    { Fault::EndpointCut, "endpoint cut" },
-    { Fault::EndpointFreeze, "endpoint frozen" },
+    { Fault::CallerDisconnect, "caller disconnected" },
+    { Fault::EndpointDisconnect, "endpoint disconnected" },
+    { Fault::EndpointSuspend, "endpoint suspended" },
     { Fault::EntryKill, "entry VM killed" },
-    { Fault::EntryFreeze, "entry VM frozen" },
+    { Fault::EntrySuspend, "entry VM suspended" },
     { Fault::PlatformDown, "platform down" },
 } };
 
-/// What a caller may be told, as a set of bits; None: its connection ends without an answer.
-enum Told : unsigned { Done = 1, NotRun = 2, Unknown = 4, None = 8 };
+/// Outcomes that a caller may see, as bits. None: the connection closes without a response.
+enum Outcome : unsigned { Done = 1, NotRun = 2, Unknown = 4, None = 8 };
 
-struct Cell {
+struct MatrixCell {
     Step step;
     Fault fault;
-    unsigned told; ///< 0: the cell can't occur
+    unsigned allowedOutcomes; ///< bits of Outcome; 0: the combination cannot occur
     int maxRuns;
-    std::string_view why {}; ///< why the cell can't occur
+    std::string_view impossibleReason {}; ///< why the combination cannot occur
 };
 
-constexpr std::string_view oneTurn = "decided within one turn of the loop, so nothing can come between";
-constexpr std::string_view noEndpoint = "no endpoint is involved before the request is whole";
-constexpr std::string_view noHold = "a connection on one machine is made or refused at once";
+constexpr std::string_view oneLoopIteration
+    = "happens within one iteration of the event loop, so no fault can come between";
+constexpr std::string_view noEndpoint = "no endpoint is involved before the request is complete";
+constexpr std::string_view noDelay = "a connection on one machine is accepted or refused at once";
 
-const Cell cells[] = {
-    { Step::Accept, Fault::CallerCut, None, 0 },
-    { Step::Accept, Fault::EndpointCut, 0, 0, noEndpoint },
-    { Step::Accept, Fault::EndpointFreeze, 0, 0, noEndpoint },
+const MatrixCell cells[] = {
+    { Step::Accept, Fault::CallerDisconnect, None, 0 },
+    { Step::Accept, Fault::EndpointDisconnect, 0, 0, noEndpoint },
+    { Step::Accept, Fault::EndpointSuspend, 0, 0, noEndpoint },
     { Step::Accept, Fault::EntryKill, None, 0 },
-    { Step::Accept, Fault::EntryFreeze, Done | NotRun, 1 },
+    { Step::Accept, Fault::EntrySuspend, Done | NotRun, 1 },
     { Step::Accept, Fault::PlatformDown, Done, 1 },
-    { Step::Admit, Fault::CallerCut, None, 0 },
-    { Step::Admit, Fault::EndpointCut, 0, 0, noEndpoint },
-    { Step::Admit, Fault::EndpointFreeze, 0, 0, noEndpoint },
+    { Step::Admit, Fault::CallerDisconnect, None, 0 },
+    { Step::Admit, Fault::EndpointDisconnect, 0, 0, noEndpoint },
+    { Step::Admit, Fault::EndpointSuspend, 0, 0, noEndpoint },
     { Step::Admit, Fault::EntryKill, None, 0 },
-    { Step::Admit, Fault::EntryFreeze, Done | NotRun, 1 },
+    { Step::Admit, Fault::EntrySuspend, Done | NotRun, 1 },
     { Step::Admit, Fault::PlatformDown, Done, 1 },
-    { Step::Queue, Fault::CallerCut, None, 0 },
-    { Step::Queue, Fault::EndpointCut, Done, 1 },
-    { Step::Queue, Fault::EndpointFreeze, NotRun, 0 },
+    { Step::Queue, Fault::CallerDisconnect, None, 0 },
+    { Step::Queue, Fault::EndpointDisconnect, Done, 1 },
+    { Step::Queue, Fault::EndpointSuspend, NotRun, 0 },
     { Step::Queue, Fault::EntryKill, None, 0 },
-    { Step::Queue, Fault::EntryFreeze, Done | NotRun, 1 },
+    { Step::Queue, Fault::EntrySuspend, Done | NotRun, 1 },
     { Step::Queue, Fault::PlatformDown, Done, 1 },
-    { Step::Choose, Fault::CallerCut, 0, 0, oneTurn },
-    { Step::Choose, Fault::EndpointCut, 0, 0, oneTurn },
-    { Step::Choose, Fault::EndpointFreeze, 0, 0, oneTurn },
-    { Step::Choose, Fault::EntryKill, 0, 0, oneTurn },
-    { Step::Choose, Fault::EntryFreeze, 0, 0, oneTurn },
-    { Step::Choose, Fault::PlatformDown, 0, 0, oneTurn },
-    { Step::Connect, Fault::CallerCut, 0, 0, noHold },
-    { Step::Connect, Fault::EndpointCut, NotRun, 0 },
-    { Step::Connect, Fault::EndpointFreeze, 0, 0, noHold },
-    { Step::Connect, Fault::EntryKill, 0, 0, noHold },
-    { Step::Connect, Fault::EntryFreeze, 0, 0, noHold },
-    { Step::Connect, Fault::PlatformDown, 0, 0, noHold },
-    { Step::Send, Fault::CallerCut, None, 1 },
-    { Step::Send, Fault::EndpointCut, Unknown, 0 },
-    { Step::Send, Fault::EndpointFreeze, Unknown, 0 },
+    { Step::Choose, Fault::CallerDisconnect, 0, 0, oneLoopIteration },
+    { Step::Choose, Fault::EndpointDisconnect, 0, 0, oneLoopIteration },
+    { Step::Choose, Fault::EndpointSuspend, 0, 0, oneLoopIteration },
+    { Step::Choose, Fault::EntryKill, 0, 0, oneLoopIteration },
+    { Step::Choose, Fault::EntrySuspend, 0, 0, oneLoopIteration },
+    { Step::Choose, Fault::PlatformDown, 0, 0, oneLoopIteration },
+    { Step::Connect, Fault::CallerDisconnect, 0, 0, noDelay },
+    { Step::Connect, Fault::EndpointDisconnect, NotRun, 0 },
+    { Step::Connect, Fault::EndpointSuspend, 0, 0, noDelay },
+    { Step::Connect, Fault::EntryKill, 0, 0, noDelay },
+    { Step::Connect, Fault::EntrySuspend, 0, 0, noDelay },
+    { Step::Connect, Fault::PlatformDown, 0, 0, noDelay },
+    { Step::Send, Fault::CallerDisconnect, None, 1 },
+    { Step::Send, Fault::EndpointDisconnect, Unknown, 0 },
+    { Step::Send, Fault::EndpointSuspend, Unknown, 0 },
     { Step::Send, Fault::EntryKill, None, 0 },
-    { Step::Send, Fault::EntryFreeze, Unknown, 0 },
+    { Step::Send, Fault::EntrySuspend, Unknown, 0 },
     { Step::Send, Fault::PlatformDown, Unknown, 0 },
-    { Step::Wait, Fault::CallerCut, None, 1 },
-    { Step::Wait, Fault::EndpointCut, Unknown, 1 },
-    { Step::Wait, Fault::EndpointFreeze, Unknown, 1 },
+    { Step::Wait, Fault::CallerDisconnect, None, 1 },
+    { Step::Wait, Fault::EndpointDisconnect, Unknown, 1 },
+    { Step::Wait, Fault::EndpointSuspend, Unknown, 1 },
     { Step::Wait, Fault::EntryKill, None, 1 },
-    { Step::Wait, Fault::EntryFreeze, Done, 1 },
+    { Step::Wait, Fault::EntrySuspend, Done, 1 },
     { Step::Wait, Fault::PlatformDown, Done, 1 },
-    { Step::Reply, Fault::CallerCut, None, 1 },
-    { Step::Reply, Fault::EndpointCut, Unknown, 1 },
-    { Step::Reply, Fault::EndpointFreeze, Unknown, 1 },
+    { Step::Reply, Fault::CallerDisconnect, None, 1 },
+    { Step::Reply, Fault::EndpointDisconnect, Unknown, 1 },
+    { Step::Reply, Fault::EndpointSuspend, Unknown, 1 },
     { Step::Reply, Fault::EntryKill, None, 1 },
-    { Step::Reply, Fault::EntryFreeze, Done, 1 },
+    { Step::Reply, Fault::EntrySuspend, Done, 1 },
     { Step::Reply, Fault::PlatformDown, Done, 1 },
-    { Step::Close, Fault::CallerCut, Done, 1 },
-    { Step::Close, Fault::EndpointCut, Done, 1 },
-    { Step::Close, Fault::EndpointFreeze, Done, 1 },
+    { Step::Close, Fault::CallerDisconnect, Done, 1 },
+    { Step::Close, Fault::EndpointDisconnect, Done, 1 },
+    { Step::Close, Fault::EndpointSuspend, Done, 1 },
     { Step::Close, Fault::EntryKill, Done, 1 },
-    { Step::Close, Fault::EntryFreeze, Done, 1 },
+    { Step::Close, Fault::EntrySuspend, Done, 1 },
     { Step::Close, Fault::PlatformDown, Done, 1 },
 };
 
 constexpr std::string_view firstHalf = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwh";
 constexpr std::string_view secondHalf = "ole";
 
-/// One request taken to a step in a fleet of its own entry VM and endpoint.
+/// Brings one request to a step, with an entry VM, a pool and an endpoint of its own, and injects a fault.
 class Trial {
 public:
-    Trial(Edge& edge, const Cell& cell, int number)
-        : m_edge(edge)
+    Trial(RequestFixture& fixture, const MatrixCell& cell, int number)
+        : m_fixture(fixture)
         , m_cell(cell)
         , m_node("v" + std::to_string(number))
         , m_pool("p" + std::to_string(number))
     {
-        auto& fleet = edge.fleet;
+        auto& fleet = fixture.fleet;
         m_endpoint = std::make_unique<RawEndpoint>(fleet.loop().base(),
             [this](const auto& connection, const auto& request) { answer(connection, request); });
         m_endpoint->setReadingDisabled(cell.step == Step::Send);
         m_entry = fleet.startDaemon(m_node, "east", { "--platform_timeout_ms=300" }).callers;
-        fleet.create(edge.admin(), "pools", m_pool, { { "slotsPerVm", 1 } });
-        fleet.create(edge.admin(), "vms", "raw-" + m_pool,
+        fleet.create(fixture.admin(), "pools", m_pool, { { "slotsPerVm", 1 } });
+        fleet.create(fixture.admin(), "vms", "raw-" + m_pool,
             { { "pool", m_pool }, { "address", http::toString(m_endpoint->address()) },
                 { "dataCentre", "east" }, { "rack", "r1" } });
     }
@@ -137,84 +146,88 @@
         HttpRequest probe { "GET", path() + "/probe", "", {}, "" };
         if (m_cell.step == Step::Send)
             probe.headers.emplace_back("Damask-Timeout-Ms", "20");
-        const auto result = m_edge.fleet.call(m_entry, probe);
+        const auto result = m_fixture.fleet.call(m_entry, probe);
         return result && (result->status == 200 || result->status == 502);
     }
 
-    void reach()
+    /// Brings the request to the step of the cell.
+    void reachStep()
     {
-        m_hold = m_cell.step == Step::Queue || m_cell.step == Step::Wait || m_cell.step == Step::Reply;
-        auto* base = m_edge.fleet.loop().base();
+        m_isHolding = m_cell.step == Step::Queue || m_cell.step == Step::Wait || m_cell.step == Step::Reply;
+        auto* base = m_fixture.fleet.loop().base();
         if (m_cell.step == Step::Queue) {
-            m_filler = std::make_unique<RawCaller>(base, m_entry);
-            m_filler->send("GET " + path() + "/filler HTTP/1.1\r\nHost: x\r\n\r\n");
-            BOOST_TEST(m_edge.fleet.eventually([&] { return !m_held.empty(); }));
+            m_slotOccupant = std::make_unique<RawCaller>(base, m_entry);
+            m_slotOccupant->send("GET " + path() + "/filler HTTP/1.1\r\nHost: x\r\n\r\n");
+            BOOST_TEST(m_fixture.fleet.eventually([&] { return !m_heldResponses.empty(); }));
         }
         if (m_cell.step == Step::Connect)
             m_endpoint.reset();
         m_caller = std::make_unique<RawCaller>(base, m_entry);
         if (m_cell.step == Step::Accept)
-            return pass(50ms);
+            return waitFor(50ms);
         if (m_cell.step == Step::Admit) {
             m_caller->send(request().substr(0, 40));
-            return pass(50ms);
+            return waitFor(50ms);
         }
         m_caller->send(request());
         if (m_cell.step == Step::Wait || m_cell.step == Step::Reply)
-            BOOST_TEST(m_edge.fleet.eventually([&] { return runs() == 1; }));
+            BOOST_TEST(m_fixture.fleet.eventually([&] { return runs() == 1; }));
         else if (m_cell.step == Step::Close)
-            BOOST_TEST(m_edge.fleet.eventually([&] { return told() == Done; }));
+            BOOST_TEST(m_fixture.fleet.eventually([&] { return outcome() == Done; }));
         else
-            pass(100ms);
+            waitFor(100ms);
     }
 
-    void strike()
+    /// Injects the fault of the cell.
+    void injectFault()
     {
-        auto& process = *m_edge.fleet.daemon(m_node).process;
+        auto& process = *m_fixture.fleet.daemon(m_node).process;
         switch (m_cell.fault) {
-        case Fault::CallerCut:
+        case Fault::CallerDisconnect:
             m_caller.reset();
-            return pass(50ms);
-        case Fault::EndpointCut:
-            m_hold = false;
+            return waitFor(50ms);
+        case Fault::EndpointDisconnect:
+            m_isHolding = false;
             return m_endpoint ? m_endpoint->closeAll() : void();
-        case Fault::EndpointFreeze:
+        case Fault::EndpointSuspend:
             return;
         case Fault::EntryKill:
             return process.signal(SIGKILL);
-        case Fault::EntryFreeze:
+        case Fault::EntrySuspend:
             process.signal(SIGSTOP);
             release();
-            complete();
-            pass(1200ms);
+            sendRemainder();
+            waitFor(1200ms);
             return process.signal(SIGCONT);
         case Fault::PlatformDown:
-            m_edge.fleet.setPlatformFaults({ { "table", "down" } });
-            pass(400ms);
+            m_fixture.fleet.setPlatformFaults({ { "table", "down" } });
+            waitFor(400ms);
             release();
-            return complete();
+            return sendRemainder();
         }
     }
 
-    /// Waits for what the caller is told and checks it and the runs.
+    /// Waits for the outcome at the caller and checks it and the number of runs.
     void check()
     {
         const auto name = std::string(nameOf(stepNames, m_cell.step)) + " x "
             + std::string(nameOf(faultNames, m_cell.fault));
-        BOOST_TEST(m_edge.fleet.eventually([&] { return told() != 0; }, 10s), name << ": no end");
-        BOOST_TEST((told() & m_cell.told), name << ": told " << told() << ", got " << received());
+        BOOST_TEST(m_fixture.fleet.eventually([&] { return outcome() != 0; }, 10s),
+            name << ": the caller got no outcome");
+        BOOST_TEST((outcome() & m_cell.allowedOutcomes),
+            name << ": outcome " << outcome() << ", received " << received());
         BOOST_TEST(runs() <= m_cell.maxRuns, name << ": ran " << runs() << " times");
-        if (told() == NotRun)
-            BOOST_TEST(runs() == 0, name << ": told not run, and it ran");
-        if (told() == Done)
-            BOOST_TEST(runs() == 1, name << ": told done, and it did not run");
-        if (m_cell.fault == Fault::CallerCut && m_cell.step != Step::Send) {
-            // The slot is free again: the pool has one.
-            m_hold = false;
+        if (outcome() == NotRun)
+            BOOST_TEST(runs() == 0, name << ": reported as not run, but it ran");
+        if (outcome() == Done)
+            BOOST_TEST(runs() == 1, name << ": reported as done, but it did not run");
+        if (m_cell.fault == Fault::CallerDisconnect && m_cell.step != Step::Send) {
+            // The only slot of the pool must be free again.
+            m_isHolding = false;
             release();
-            BOOST_TEST(isReady(), name << ": the slot is not free");
+            BOOST_TEST(isReady(), name << ": the slot was not freed");
         }
-        m_edge.fleet.setPlatformFaults(json::object());
+        m_fixture.fleet.setPlatformFaults(json::object());
     }
 
 private:
@@ -223,35 +236,36 @@
     std::string request() const
     {
         const std::string body(m_cell.step == Step::Send ? 3'000'000 : 4, 'x');
-        const bool ends = m_cell.fault == Fault::EndpointFreeze || m_cell.step == Step::Send;
+        const bool hasTimeout = m_cell.fault == Fault::EndpointSuspend || m_cell.step == Step::Send;
         return "POST " + path() + "/order HTTP/1.1\r\nHost: x\r\nX-Request-Id: cell\r\n"
-            + (ends ? "Damask-Timeout-Ms: 1000\r\n" : "") + "Content-Length: " + std::to_string(body.size())
-            + "\r\n\r\n" + body;
+            + (hasTimeout ? "Damask-Timeout-Ms: 1000\r\n" : "")
+            + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
     }
 
     void answer(const std::shared_ptr<RawConnection>& connection, const std::string& request)
     {
-        const bool order = request.starts_with("POST");
-        m_runs += order;
-        if (!m_hold)
+        const bool isOrder = request.starts_with("POST");
+        m_runs += isOrder;
+        if (!m_isHolding)
             return connection->send(std::string(firstHalf) + std::string(secondHalf));
-        const bool half = order && m_cell.step == Step::Reply;
-        if (half)
+        const bool sendsHalf = isOrder && m_cell.step == Step::Reply;
+        if (sendsHalf)
             connection->send(std::string(firstHalf));
-        m_held.emplace_back(connection, half ? secondHalf : std::string(firstHalf) + std::string(secondHalf));
+        m_heldResponses.emplace_back(
+            connection, sendsHalf ? secondHalf : std::string(firstHalf) + std::string(secondHalf));
     }
 
-    /// Lets the endpoint give the answers that it holds back.
+    /// Sends the responses that the endpoint holds back.
     void release()
     {
-        m_hold = false;
-        for (const auto& [connection, rest] : m_held)
+        m_isHolding = false;
+        for (const auto& [connection, rest] : m_heldResponses)
             connection->send(rest);
-        m_held.clear();
+        m_heldResponses.clear();
     }
 
-    /// Sends what the caller has not sent yet.
-    void complete()
+    /// Sends the part of the request that the caller has not sent yet.
+    void sendRemainder()
     {
         if (m_cell.step == Step::Accept)
             m_caller->send(request());
@@ -259,15 +273,15 @@
             m_caller->send(request().substr(40));
     }
 
-    void pass(std::chrono::milliseconds time)
+    void waitFor(std::chrono::milliseconds time)
     {
-        m_edge.fleet.eventually([] { return false; }, time);
+        m_fixture.fleet.eventually([] { return false; }, time);
     }
 
     std::string received() const { return m_caller ? m_caller->received().substr(0, 200) : ""; }
 
-    /// What the caller has been told so far; 0: nothing.
-    unsigned told() const
+    /// Outcome that the caller has seen so far; 0: none yet.
+    unsigned outcome() const
     {
         if (!m_caller)
             return m_cell.step == Step::Close ? unsigned(Done) : unsigned(None);
@@ -283,47 +297,48 @@
 
     int runs() const { return m_runs; }
 
-    Edge& m_edge;
-    const Cell& m_cell;
+    RequestFixture& m_fixture;
+    const MatrixCell& m_cell;
     std::string m_node;
     std::string m_pool;
     Address m_entry;
     std::unique_ptr<RawEndpoint> m_endpoint;
     std::unique_ptr<RawCaller> m_caller;
-    std::unique_ptr<RawCaller> m_filler;
-    std::vector<std::pair<std::shared_ptr<RawConnection>, std::string>> m_held;
+    std::unique_ptr<RawCaller> m_slotOccupant;
+    std::vector<std::pair<std::shared_ptr<RawConnection>, std::string>> m_heldResponses;
     int m_runs = 0;
-    bool m_hold = false;
+    bool m_isHolding = false;
 };
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(everyCellIsInTheTable)
+BOOST_AUTO_TEST_CASE(matrixCoversEveryStepAndFault)
 {
     BOOST_TEST(std::size(cells) == stepNames.size() * faultNames.size());
     for (const auto& cell : cells)
-        BOOST_TEST((cell.told == 0) != cell.why.empty());
+        BOOST_TEST((cell.allowedOutcomes == 0) != cell.impossibleReason.empty());
 }
 
-BOOST_AUTO_TEST_CASE(eachFaultAtEachStepHasItsExpectedOutcome)
+BOOST_AUTO_TEST_CASE(eachFaultAtEachStepHasAnAllowedOutcome)
 {
-    Edge edge;
+    RequestFixture fixture;
     int number = 0;
     for (const auto& cell : cells) {
         const int index = number++;
-        if (cell.told == 0)
+        if (cell.allowedOutcomes == 0)
             continue;
-        Trial trial(edge, cell, index);
-        const auto current = edge.fleet.callJson(edge.admin(), "GET", "/v1/configurations/current").second;
-        edge.fleet.callJson(edge.admin(), "PUT", "/v1/configurations/current",
+        Trial trial(fixture, cell, index);
+        const auto current
+            = fixture.fleet.callJson(fixture.admin(), "GET", "/v1/configurations/current").second;
+        fixture.fleet.callJson(fixture.admin(), "PUT", "/v1/configurations/current",
             { { "resourceVersion", current["resourceVersion"] },
                 { "spec",
                     { { "routes",
                         { { { "prefix", "/p" + std::to_string(index) },
                             { "pool", "p" + std::to_string(index) } } } } } } });
-        BOOST_REQUIRE(edge.fleet.eventually([&] { return trial.isReady(); }));
-        trial.reach();
-        trial.strike();
+        BOOST_REQUIRE(fixture.fleet.eventually([&] { return trial.isReady(); }));
+        trial.reachStep();
+        trial.injectFault();
         trial.check();
     }
 }
--- a/testsuite/requests/requests_fixture.h
+++ b/testsuite/requests/requests_fixture.h
@@ -1,5 +1,5 @@
 /// \file
-/// Two daemons and two endpoints of one pool, for tests of the callers' edge.
+/// Fixture with two daemons and two endpoints of one pool, for tests of the request path.
 #pragma once
 
 #include "../harness/fleet.h"
@@ -9,9 +9,9 @@
 
 namespace damask::harness {
 
-/// A fleet whose pool is empty until endpoints are declared.
-struct Edge {
-    explicit Edge(const nlohmann::json& pool = nlohmann::json::object())
+/// A fleet whose pool has no VMs until declare() adds them.
+struct RequestFixture {
+    explicit RequestFixture(const nlohmann::json& pool = nlohmann::json::object())
     {
         fleet.startEndpoints("east", { "e1", "e2" });
         fleet.startDaemon("a", "east", { "--platform_timeout_ms=500" });
@@ -26,6 +26,7 @@
 
     Address admin() { return fleet.daemon("a").admin; }
 
+    /// Adds a VM to the pool and waits until both daemons route to the pool.
     void declare(const std::string& id, const Address& address)
     {
         fleet.create(admin(), "vms", id,
@@ -61,19 +62,19 @@
     Fleet fleet;
 };
 
-/// Value of the Damask-Outcome header.
+/// Value of the Damask-Outcome header; empty if there is none.
 inline std::string outcomeOf(const HttpResponse& response)
 {
     return std::string(http::header(response.headers, "Damask-Outcome").value_or(""));
 }
 
-/// Whether the answer tells when to come back.
-inline bool saysWhenToRetry(const HttpResponse& response)
+/// Whether the response has a Retry-After header.
+inline bool hasRetryAfter(const HttpResponse& response)
 {
     return http::header(response.headers, "Retry-After").has_value();
 }
 
-/// The reason member of a refusal.
+/// Value of `reason` in the JSON body of a refusal; empty if there is none.
 inline std::string reasonOf(const HttpResponse& response)
 {
     const auto body = nlohmann::json::parse(response.body, nullptr, false);
--- a/testsuite/requests/requests_test.cpp
+++ b/testsuite/requests/requests_test.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The request path of several daemons on one endpoint, with real processes.
+/// Several daemons that share one endpoint, on real processes.
 #include "../harness/fleet.h"
 
 #include <boost/test/unit_test.hpp>
@@ -15,8 +15,8 @@
 constexpr int endpointSlots = 8;
 constexpr int requestsPerDaemon = 12;
 
-struct Shared {
-    Shared()
+struct SharedEndpointFixture {
+    SharedEndpointFixture()
     {
         fleet.startEndpoints("east", { "e1" });
         for (const auto& node : nodes)
@@ -29,7 +29,7 @@
         fleet.call(fleet.endpoint("e1").address, { "POST", "/_control/mode", "", {}, R"({"mode":"hang"})" });
     }
 
-    /// Sum of one metric over the daemons; nothing if one has not got it.
+    /// Sum of a metric over the daemons; nothing if a daemon does not report it.
     std::optional<double> total(const std::string& metric)
     {
         double sum = 0;
@@ -49,7 +49,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_CASE(daemonsTogetherKeepWithinTheSlotsOfAnEndpoint, Shared)
+BOOST_FIXTURE_TEST_CASE(daemonsTogetherStayWithinTheSlotsOfAnEndpoint, SharedEndpointFixture)
 {
     BOOST_REQUIRE(fleet.eventually([&] { return total("damask_configuration_generation") == 3.0; }));
     BOOST_REQUIRE(fleet.eventually([&] { return total("damask_pool_slots{pool=\"pricing\"}") == 8.0; }));
@@ -60,8 +60,8 @@
                 { "POST", "/pricing/quote", "", { { "X-Request-Id", node + std::to_string(i) } }, "cake" },
                 std::chrono::seconds(30), [&](const HttpResult&) { ++ended; });
     }
-    const double all = requestsPerDaemon * double(nodes.size());
-    BOOST_REQUIRE(fleet.eventually([&] { return total("damask_requests_total") == all; }));
+    const double requestCount = requestsPerDaemon * double(nodes.size());
+    BOOST_REQUIRE(fleet.eventually([&] { return total("damask_requests_total") == requestCount; }));
     BOOST_TEST(ended == 0u);
     BOOST_REQUIRE(fleet.eventually([&] { return fleet.runsOf("e1").size() >= endpointSlots; }));
     BOOST_TEST(fleet.runsOf("e1").size() == std::size_t(endpointSlots));
--- a/testsuite/requests/stop_test.cpp
+++ b/testsuite/requests/stop_test.cpp
@@ -1,4 +1,5 @@
-/// P7: a planned stop under load cuts, loses and doubles no request.
+/// \file
+/// Guarantee P7: a planned stop under load interrupts, loses and duplicates no request.
 #include "requests_fixture.h"
 
 #include <csignal>
@@ -10,108 +11,109 @@
 
 namespace {
 
-constexpr int callers = 40;
+constexpr int callerCount = 40;
 
-/// What callers were told, by request id.
-struct Told {
+/// Outcomes that the callers saw for one request id.
+struct OutcomeCounts {
     int done = 0;
     int notRun = 0;
     int unknown = 0;
-    int broken = 0; ///< no whole answer
+    int incomplete = 0; ///< no complete response
 };
 
 /// Callers on keep-alive connections that each send one request after another.
-class Load {
+class LoadGenerator {
 public:
-    Load(Fleet& fleet, Address address)
+    LoadGenerator(Fleet& fleet, Address address)
         : m_address(std::move(address))
     {
-        for (int i = 0; i < callers; ++i)
+        for (int i = 0; i < callerCount; ++i)
             m_clients.push_back(std::make_unique<HttpClient>(fleet.loop().base(), HttpLimits {}));
     }
 
     void start()
     {
         for (std::size_t i = 0; i < m_clients.size(); ++i)
-            next(i);
+            sendNext(i);
     }
 
-    void stop() { m_running = false; }
-    int open() const { return m_open; }
-    const std::map<std::string, Told>& told() const { return m_told; }
+    void stop() { m_isRunning = false; }
+    int openRequests() const { return m_openRequests; }
+    const std::map<std::string, OutcomeCounts>& outcomes() const { return m_outcomes; }
     int refusedWithoutRetryAfter() const { return m_withoutRetryAfter; }
     int refusedWithoutClose() const { return m_withoutClose; }
 
 private:
-    void next(std::size_t caller)
+    void sendNext(std::size_t caller)
     {
-        if (!m_running)
+        if (!m_isRunning)
             return;
-        const auto id = "r" + std::to_string(m_next++);
+        const auto id = "r" + std::to_string(m_nextId++);
         HttpRequest request { "POST", "/pricing/order", "", { { "X-Request-Id", id } }, "cake" };
-        ++m_open;
+        ++m_openRequests;
         m_clients[caller]->send(m_address, request, 20s, [this, id, caller](const HttpResult& result) {
-            --m_open;
+            --m_openRequests;
             record(id, result);
-            // The platform's balancer has been told: after a refusal it sends nothing more here.
+            // The daemon has told the platform's balancer that it stops, so a caller sends nothing more after
+            // a refusal.
             if (result && outcomeOf(*result) != "not-run")
-                next(caller);
+                sendNext(caller);
         });
     }
 
     void record(const std::string& id, const HttpResult& result)
     {
-        auto& told = m_told[id];
+        auto& outcomes = m_outcomes[id];
         if (!result) {
-            told.broken += result.error().bytesSent;
-            told.notRun += !result.error().bytesSent;
+            outcomes.incomplete += result.error().bytesSent;
+            outcomes.notRun += !result.error().bytesSent;
             return;
         }
         const auto outcome = outcomeOf(*result);
-        told.done += outcome == "done";
-        told.notRun += outcome == "not-run";
-        told.unknown += outcome == "unknown";
-        m_withoutRetryAfter += outcome == "not-run" && !saysWhenToRetry(*result);
+        outcomes.done += outcome == "done";
+        outcomes.notRun += outcome == "not-run";
+        outcomes.unknown += outcome == "unknown";
+        m_withoutRetryAfter += outcome == "not-run" && !hasRetryAfter(*result);
         m_withoutClose += outcome == "not-run" && http::header(result->headers, "Connection") != "close";
     }
 
     Address m_address;
     std::vector<std::unique_ptr<HttpClient>> m_clients;
-    std::map<std::string, Told> m_told;
-    int m_next = 0;
-    int m_open = 0;
+    std::map<std::string, OutcomeCounts> m_outcomes;
+    int m_nextId = 0;
+    int m_openRequests = 0;
     int m_withoutRetryAfter = 0;
     int m_withoutClose = 0;
-    bool m_running = true;
+    bool m_isRunning = true;
 };
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(plannedStopUnderLoadCutsNothing)
+BOOST_AUTO_TEST_CASE(plannedStopUnderLoadInterruptsNoRequest)
 {
     for (int round = 0; round < 3; ++round) {
-        Edge edge({ { "slotsPerVm", 4 }, { "queueLimit", 200 } });
-        edge.declare("e1", edge.fleet.endpoint("e1").address);
-        edge.declare("e2", edge.fleet.endpoint("e2").address);
-        edge.setMode("e1", { { "delayMs", 100 } });
-        edge.setMode("e2", { { "delayMs", 6000 } }); // longer than any wait for connections
-        Load load(edge.fleet, edge.fleet.daemon("a").callers);
+        RequestFixture fixture({ { "slotsPerVm", 4 }, { "queueLimit", 200 } });
+        fixture.declare("e1", fixture.fleet.endpoint("e1").address);
+        fixture.declare("e2", fixture.fleet.endpoint("e2").address);
+        fixture.setMode("e1", { { "delayMs", 100 } });
+        fixture.setMode("e2", { { "delayMs", 6000 } }); // longer than any wait for connections
+        LoadGenerator load(fixture.fleet, fixture.fleet.daemon("a").callers);
         load.start();
-        BOOST_REQUIRE(edge.fleet.eventually([&] { return load.told().size() > 60; }));
-        edge.fleet.daemon("a").process->signal(SIGTERM);
-        BOOST_TEST(edge.fleet.eventually([&] { return load.open() == 0; }, 30s));
+        BOOST_REQUIRE(fixture.fleet.eventually([&] { return load.outcomes().size() > 60; }));
+        fixture.fleet.daemon("a").process->signal(SIGTERM);
+        BOOST_TEST(fixture.fleet.eventually([&] { return load.openRequests() == 0; }, 30s));
         load.stop();
-        BOOST_TEST(edge.fleet.daemon("a").process->wait() == 0);
-        const auto history = edge.fleet.callJson(edge.fleet.platform(), "GET", "/admin/history").second;
+        BOOST_TEST(fixture.fleet.daemon("a").process->wait() == 0);
+        const auto history = fixture.fleet.callJson(fixture.fleet.platform(), "GET", "/admin/history").second;
         BOOST_TEST(history["announcements"].value("a", true) == false);
-        const auto runs = edge.fleet.runCountsById();
+        const auto runs = fixture.fleet.runCountsById();
         int refused = 0;
-        for (const auto& [id, told] : load.told()) {
+        for (const auto& [id, outcomes] : load.outcomes()) {
             const int ran = runs.contains(id) ? runs.at(id) : 0;
-            BOOST_TEST(told.broken == 0, id << " got no whole answer");
-            BOOST_TEST(told.unknown == 0, id << " is outcome unknown");
-            BOOST_TEST(ran == told.done, id << " ran " << ran << " times, done " << told.done);
-            refused += told.notRun;
+            BOOST_TEST(outcomes.incomplete == 0, id << " got no complete response");
+            BOOST_TEST(outcomes.unknown == 0, id << " has an unknown outcome");
+            BOOST_TEST(ran == outcomes.done, id << " ran " << ran << " times, done " << outcomes.done);
+            refused += outcomes.notRun;
         }
         BOOST_TEST(refused > 0);
         BOOST_TEST(load.refusedWithoutRetryAfter() == 0);
