--- a/src/bench_control/return_bench.cpp
+++ b/src/bench_control/return_bench.cpp
@@ -67,12 +67,12 @@
 {
     Loop loop;
     standin::FakePlatform platform;
-    auto fate = standin::Fate::Answer;
+    auto fate = standin::InjectedOutcome::Answer;
     PeakRate reads;
     PeakRate writes;
     Timer answers(loop.base(), [&] {
-        for (auto left = platform.waiting(); left > 0; --left)
-            platform.decide(fate);
+        for (auto left = platform.pendingRequests(); left > 0; --left)
+            platform.completeNext(fate);
         reads.count(platform.reads);
         writes.count(platform.writes);
     });
@@ -91,10 +91,10 @@
     commitAll(1);
     pass(calm);
     const auto calmReads = reads.peak();
-    fate = standin::Fate::LoseAfter;
+    fate = standin::InjectedOutcome::LoseAnswer;
     commitAll(lostPerNode);
     pass(2ms);
-    fate = standin::Fate::Refuse;
+    fate = standin::InjectedOutcome::Refuse;
     reads.reset();
     writes.reset();
     writes.count(platform.writes);
@@ -104,7 +104,7 @@
     reads.reset();
     writes.reset();
     const auto returned = std::chrono::steady_clock::now();
-    fate = standin::Fate::Answer;
+    fate = standin::InjectedOutcome::Answer;
     writes.count(platform.writes);
     commitAll(1);
     loop.runUntil(
--- a/src/bench_control/spread_bench.cpp
+++ b/src/bench_control/spread_bench.cpp
@@ -158,8 +158,8 @@
     for (int i = 0; i < rowsOfSpecs; ++i)
         change(platform, i);
     Timer answers(loop.base(), [&] {
-        while (platform.waiting() > 0)
-            platform.decide(standin::Fate::Answer);
+        while (platform.pendingRequests() > 0)
+            platform.completeNext(standin::InjectedOutcome::Answer);
     });
     answers.startPeriodic(1ms);
     std::vector<std::unique_ptr<Node>> nodes;
--- a/src/libstore/mirror_test.cpp
+++ b/src/libstore/mirror_test.cpp
@@ -31,8 +31,8 @@
     }
     void answerAll()
     {
-        while (platform.waiting() > 0)
-            platform.decide(Fate::Answer);
+        while (platform.pendingRequests() > 0)
+            platform.completeNext(InjectedOutcome::Answer);
     }
 
     Loop loop;
--- a/src/libstore/store_test.cpp
+++ b/src/libstore/store_test.cpp
@@ -42,7 +42,7 @@
     /// Runs the event loop until the store sends a request or no commit is pending, for at most 1 s.
     void runTimers()
     {
-        loop.runUntil([this] { return platform.waiting() > 0 || !hasPendingCommit(); }, 1s);
+        loop.runUntil([this] { return platform.pendingRequests() > 0 || !hasPendingCommit(); }, 1s);
     }
 
     int countWrites(const std::string& key) const
@@ -68,32 +68,33 @@
 RC_BOOST_PROP(reportedCommitOutcomeMatchesTableAfterLateWrites, (const std::vector<std::uint8_t>& schedule))
 {
     constexpr std::size_t maxCommits = 12;
-    constexpr Fate fates[] = { Fate::Answer, Fate::Answer, Fate::Refuse, Fate::LoseBefore, Fate::LoseAfter,
-        Fate::Delay, Fate::Duplicate };
+    constexpr InjectedOutcome fates[] = { InjectedOutcome::Answer, InjectedOutcome::Answer,
+        InjectedOutcome::Refuse, InjectedOutcome::LoseRequest, InjectedOutcome::LoseAnswer,
+        InjectedOutcome::Delay, InjectedOutcome::Duplicate };
     StoreFixture fixture;
     auto& platform = fixture.platform;
     for (const auto step : schedule) {
         const auto choice = step % 10U;
         if (choice >= 8 && fixture.commits.size() < maxCommits)
             fixture.commit();
-        else if (choice == 7 && platform.late() > 0)
-            platform.arrive(step / 10U);
-        else if (choice < 7 && platform.waiting() > 0)
-            platform.decide(fates[choice]);
-        if (platform.waiting() == 0)
+        else if (choice == 7 && platform.delayedWrites() > 0)
+            platform.deliverWrite(step / 10U);
+        else if (choice < 7 && platform.pendingRequests() > 0)
+            platform.completeNext(fates[choice]);
+        if (platform.pendingRequests() == 0)
             fixture.runTimers();
     }
-    while (fixture.hasPendingCommit() || platform.waiting() > 0) {
-        if (platform.waiting() > 0)
-            platform.decide(Fate::Answer);
+    while (fixture.hasPendingCommit() || platform.pendingRequests() > 0) {
+        if (platform.pendingRequests() > 0)
+            platform.completeNext(InjectedOutcome::Answer);
         else
             fixture.runTimers();
     }
     fixture.commit(); // may delete operation rows before the late writes arrive
-    while (platform.waiting() > 0)
-        platform.decide(Fate::Answer);
-    while (platform.late() > 0)
-        platform.arrive(0);
+    while (platform.pendingRequests() > 0)
+        platform.completeNext(InjectedOutcome::Answer);
+    while (platform.delayedWrites() > 0)
+        platform.deliverWrite(0);
     for (const auto& record : fixture.commits) {
         const auto writes = fixture.countWrites(record.key);
         if (*record.result)
@@ -110,8 +111,8 @@
     StoreFixture fixture;
     for (int i = 0; i < 20; ++i) {
         fixture.commit();
-        while (fixture.platform.waiting() > 0)
-            fixture.platform.decide(Fate::Answer);
+        while (fixture.platform.pendingRequests() > 0)
+            fixture.platform.completeNext(InjectedOutcome::Answer);
     }
     BOOST_TEST(fixture.platform.table.rows("o/").rows.size() <= 4u);
 }
--- a/testsuite/badinput/badinput_test.cpp
+++ b/testsuite/badinput/badinput_test.cpp
@@ -16,7 +16,7 @@
     {
         fleet.startEndpoints("east", { "e1", "e2" });
         fleet.startDaemon("a", "east");
-        fleet.publishList();
+        fleet.publishVmList();
         admin = fleet.daemon("a").admin;
         fleet.declarePool(admin, "pricing", { "e1", "e2" });
     }
--- a/testsuite/config/config_test.cpp
+++ b/testsuite/config/config_test.cpp
@@ -23,7 +23,7 @@
         start("a", "east");
         start("b", "east");
         start("c", "west");
-        fleet.publishList();
+        fleet.publishVmList();
         declareConfiguration(fleet, fleet.daemon("a").admin);
         BOOST_REQUIRE(fleet.eventually([&] { return isInForceEverywhere(1); }, recoveryBound));
     }
--- a/testsuite/config/cut_test.cpp
+++ b/testsuite/config/cut_test.cpp
@@ -21,7 +21,7 @@
     {
         start("east1", "east");
         start("west1", "west");
-        fleet.publishList();
+        fleet.publishVmList();
         declareConfiguration(fleet, fleet.daemon("east1").admin);
         BOOST_REQUIRE(fleet.eventually(
             [&] { return generation("east1") == 1 && generation("west1") == 1; }, recoveryBound));
--- a/testsuite/config/model_test.cpp
+++ b/testsuite/config/model_test.cpp
@@ -95,10 +95,11 @@
                 PlatformResult<TableVersion> committed) { changes[index].result = std::move(committed); });
     }
 
-    void completeRequest(Node& node, Fate outcome)
+    void completeRequest(Node& node, InjectedOutcome outcome)
     {
-        if (node.platform.waiting() > 0)
-            node.platform.decide(node.isDisconnectedFromPlatform ? Fate::LoseBefore : outcome);
+        if (node.platform.pendingRequests() > 0)
+            node.platform.completeNext(
+                node.isDisconnectedFromPlatform ? InjectedOutcome::LoseRequest : outcome);
         // Runs the timers of the store, whose delays are zero in this test.
         loop.runUntil([] { return false; }, 0ms);
     }
@@ -120,7 +121,7 @@
         damask::membership::observe(node.membership, received, clock.now());
         if (received.tableVersion <= node.mirror.version())
             return;
-        if (node.mirror.isCutOff())
+        if (node.mirror.isTableUnreachable())
             node.pendingRowSets.push_back(sender.mirror.rowsSince(node.mirror.version()));
         else
             node.mirror.pollNow();
@@ -135,7 +136,7 @@
             = node.pendingRowSets.begin() + static_cast<std::ptrdiff_t>(index % node.pendingRowSets.size());
         const auto rows = *at;
         node.pendingRowSets.erase(at);
-        node.mirror.take(rows);
+        node.mirror.applyIfNewer(rows);
     }
 
     void runStep(std::uint8_t byte)
@@ -146,7 +147,8 @@
             node.isSuspended = !node.isSuspended;
         if (node.isSuspended)
             return;
-        constexpr Fate faultOutcomes[] = { Fate::LoseBefore, Fate::LoseAfter, Fate::Delay, Fate::Duplicate };
+        constexpr InjectedOutcome faultOutcomes[] = { InjectedOutcome::LoseRequest,
+            InjectedOutcome::LoseAnswer, InjectedOutcome::Delay, InjectedOutcome::Duplicate };
         if (action == 1)
             node.isDisconnectedFromPlatform = !node.isDisconnectedFromPlatform;
         if (action == 2)
@@ -157,8 +159,8 @@
             proposeChange(node);
         if (action == 6 || action == 7)
             completeRequest(node, faultOutcomes[byte / 64U]);
-        if (action == 8 && node.platform.late() > 0)
-            node.platform.arrive(0);
+        if (action == 8 && node.platform.delayedWrites() > 0)
+            node.platform.deliverWrite(0);
         if (action == 9 || action == 10)
             exchangeHeartbeats(node, *nodes[byte / 64U]);
         if (action == 11)
@@ -168,7 +170,7 @@
         if (action == 14 && !replacedNodes.empty())
             exchangeHeartbeats(*replacedNodes[byte / 64U % replacedNodes.size()], node);
         if (action >= 12)
-            completeRequest(node, Fate::Answer);
+            completeRequest(node, InjectedOutcome::Answer);
     }
 
     void check()
@@ -189,8 +191,8 @@
                 if (second % pollIntervalSeconds == static_cast<int>(slot))
                     node.mirror.pollNow();
                 exchangeHeartbeats(node, *nodes[(slot + static_cast<std::size_t>(second)) % nodeCount]);
-                for (int i = 0; i < 100 && node.platform.waiting() > 0; ++i)
-                    completeRequest(node, Fate::Answer);
+                for (int i = 0; i < 100 && node.platform.pendingRequests() > 0; ++i)
+                    completeRequest(node, InjectedOutcome::Answer);
                 while (!node.pendingRowSets.empty())
                     deliverRows(node, 0);
             }
@@ -208,11 +210,11 @@
     void deliverDelayedWrites()
     {
         for (auto& node : replacedNodes)
-            while (node->platform.late() > 0)
-                node->platform.arrive(0);
+            while (node->platform.delayedWrites() > 0)
+                node->platform.deliverWrite(0);
         for (auto& node : nodes)
-            while (node->platform.late() > 0)
-                node->platform.arrive(0);
+            while (node->platform.delayedWrites() > 0)
+                node->platform.deliverWrite(0);
     }
 
     Loop loop;
--- a/testsuite/demo/callers.cpp
+++ b/testsuite/demo/callers.cpp
@@ -47,7 +47,7 @@
     auto& counts = m_countsByService[service];
     if (!result) {
         // If no bytes were sent, nothing ran. Otherwise the response was cut off.
-        result.error().bytesSent ? ++counts.cut : ++counts.notRun;
+        result.error().mayHaveBeenSent ? ++counts.cut : ++counts.notRun;
         return;
     }
     const std::string outcome(http::header(result->headers, "Damask-Outcome").value_or(""));
--- a/testsuite/demo/demo.cpp
+++ b/testsuite/demo/demo.cpp
@@ -81,7 +81,7 @@
             const auto& daemon = m_fleet.startDaemon("entry-" + std::to_string(i + 1), dataCentres[i]);
             m_servers += (m_servers.empty() ? "" : ",") + http::toString(daemon.admin);
         }
-        m_fleet.publishList();
+        m_fleet.publishVmList();
     }
 
     void declare()
--- a/testsuite/harness/fleet.cpp
+++ b/testsuite/harness/fleet.cpp
@@ -22,7 +22,7 @@
 } // namespace
 
 Fleet::Fleet(std::chrono::milliseconds vmListDelay)
-    : m_client(m_loop.base(), HttpLimits { .bodyBytes = 64 << 20 })
+    : m_client(m_loop.base(), HttpLimits { .maxBodyBytes = 64 << 20 })
     , m_platform(std::make_unique<Process>(
           std::vector<std::string> { binary("standin_platform"), std::to_string(vmListDelay.count()) }))
 {
@@ -62,7 +62,7 @@
     }
 }
 
-void Fleet::publishList(const std::vector<std::string>& excludedIds)
+void Fleet::publishVmList(const std::vector<std::string>& excludedIds)
 {
     json items = json::array();
     auto isExcluded = [&](const std::string& id) {
--- a/testsuite/harness/fleet.h
+++ b/testsuite/harness/fleet.h
@@ -50,7 +50,7 @@
     void startEndpoints(const std::string& dataCentre, const std::vector<std::string>& ids);
     /// Publishes the started daemons and endpoints, except those in \p excludedIds, as the platform's VM
     /// list.
-    void publishList(const std::vector<std::string>& excludedIds = {});
+    void publishVmList(const std::vector<std::string>& excludedIds = {});
 
     DaemonHandle& daemon(const std::string& node) { return m_daemons.at(node); }
     const EndpointHandle& endpoint(const std::string& id) const { return m_endpoints.at(id); }
--- a/testsuite/jobs/jobs_system_test.cpp
+++ b/testsuite/jobs/jobs_system_test.cpp
@@ -21,7 +21,7 @@
         fleet.startEndpoints("east", { "e1", "e2" });
         fleet.startDaemon("a", "east", shortPeriodFlags);
         fleet.startDaemon("b", "east", shortPeriodFlags);
-        fleet.publishList();
+        fleet.publishVmList();
         admin = fleet.daemon("a").admin;
         fleet.declarePool(admin, "imaging", { "e1", "e2" });
     }
--- a/testsuite/jobs/move_system_test.cpp
+++ b/testsuite/jobs/move_system_test.cpp
@@ -32,7 +32,7 @@
     Fleet fleet;
     fleet.startEndpoints("east", { "p1", "m1", "m2", "m3" });
     fleet.startDaemon("a", "east", { "--report_period_ms=100", "--lease_ms=1500" });
-    fleet.publishList();
+    fleet.publishVmList();
     const auto admin = fleet.daemon("a").admin;
     fleet.declarePool(admin, "pricing", { "p1" });
     fleet.declarePool(admin, "misc", { "m1", "m2", "m3" }, { { "spare", true } });
--- a/testsuite/path/path_test.cpp
+++ b/testsuite/path/path_test.cpp
@@ -21,7 +21,7 @@
         fleet.startDaemon("a", "east");
         fleet.startDaemon("b", "east");
         fleet.startDaemon("c", "west");
-        fleet.publishList();
+        fleet.publishVmList();
         auto admin = fleet.daemon("a").admin;
         fleet.declarePool(admin, "pricing", { "e1", "e2", "w1" });
         fleet.create(admin, "configurations", "current",
--- a/testsuite/requests/leaving_test.cpp
+++ b/testsuite/requests/leaving_test.cpp
@@ -60,11 +60,11 @@
 
 BOOST_FIXTURE_TEST_CASE(vmMissingFromTheListGetsNoNewRequests, LeavingFixture)
 {
-    fleet.publishList({ "e2" });
+    fleet.publishVmList({ "e2" });
     BOOST_TEST(fleet.eventually([&] { return bothRouteTo(1); }, removalBound));
     for (int i = 0; i < 5; ++i)
         BOOST_TEST(!receivesRequests("e2"));
-    fleet.publishList();
+    fleet.publishVmList();
     BOOST_TEST(fleet.eventually([&] { return receivesRequests("e2"); }));
 }
 
@@ -93,7 +93,7 @@
 BOOST_FIXTURE_TEST_CASE(resumedEntryVmDoesNotRouteByItsStaleList, LeavingFixture)
 {
     fleet.daemon("a").process->signal(SIGSTOP);
-    fleet.publishList({ "e2" });
+    fleet.publishVmList({ "e2" });
     // The status row is set to draining while the entry VM is suspended.
     const auto [status, vm] = fleet.callJson(fleet.daemon("b").admin, "GET", "/v1/vms/e2");
     BOOST_REQUIRE(status == 200);
--- a/testsuite/requests/requests_fixture.h
+++ b/testsuite/requests/requests_fixture.h
@@ -16,7 +16,7 @@
         fleet.startEndpoints("east", { "e1", "e2" });
         fleet.startDaemon("a", "east", { "--platform_timeout_ms=500" });
         fleet.startDaemon("b", "east", { "--platform_timeout_ms=500" });
-        fleet.publishList();
+        fleet.publishVmList();
         fleet.create(admin(), "pools", "pricing", pool);
         fleet.create(admin(), "configurations", "current",
             { { "routes",
--- a/testsuite/requests/requests_test.cpp
+++ b/testsuite/requests/requests_test.cpp
@@ -21,7 +21,7 @@
         fleet.startEndpoints("east", { "e1" });
         for (const auto& node : nodes)
             fleet.startDaemon(node, "east");
-        fleet.publishList();
+        fleet.publishVmList();
         const auto admin = fleet.daemon("a").admin;
         fleet.declarePool(admin, "pricing", { "e1" });
         fleet.create(admin, "configurations", "current",
--- a/testsuite/requests/stop_test.cpp
+++ b/testsuite/requests/stop_test.cpp
@@ -65,8 +65,8 @@
     {
         auto& outcomes = m_outcomes[id];
         if (!result) {
-            outcomes.incomplete += result.error().bytesSent;
-            outcomes.notRun += !result.error().bytesSent;
+            outcomes.incomplete += result.error().mayHaveBeenSent;
+            outcomes.notRun += !result.error().mayHaveBeenSent;
             return;
         }
         const auto outcome = outcomeOf(*result);
--- a/testsuite/soak/checker.cpp
+++ b/testsuite/soak/checker.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-void Checker::broken(const std::string& what)
+void Checker::reportViolation(const std::string& what)
 {
     violations.push_back(what);
     std::cout << "violation: " << what << std::endl;
@@ -23,17 +23,17 @@
 {
     const auto name = toString(task) + " on " + vm;
     if (pool != job.queue.pool)
-        broken(name + " runs in the wrong pool " + pool);
+        reportViolation(name + " runs in the wrong pool " + pool);
     if (job.submissionResult == SubmissionResult::Refused)
-        broken(name + " runs although its job was refused");
+        reportViolation(name + " runs although its job was refused");
     if (job.isCancelled() && std::chrono::steady_clock::now() - job.cancelledAt > maxStartAfterCancel)
-        broken(name + " starts too long after its job was cancelled");
+        reportViolation(name + " starts too long after its job was cancelled");
     for (const int dependency : job.spec.steps[static_cast<std::size_t>(task.step)].after) {
         const int required = job.spec.steps[static_cast<std::size_t>(dependency)].count;
         const auto done = std::count_if(job.tasks.begin(), job.tasks.end(),
             [&](const auto& entry) { return entry.first.step == dependency && entry.second.isDone; });
         if (done < required)
-            broken(name + " starts before step " + std::to_string(dependency) + " is done");
+            reportViolation(name + " starts before step " + std::to_string(dependency) + " is done");
     }
 }
 
@@ -43,18 +43,19 @@
     ++runCount;
     const auto found = jobs.find(task.job);
     if (found == jobs.end() || spec != found->second.spec.spec)
-        return broken(toString(task) + " on " + vm + " belongs to no submitted job or has another spec");
+        return reportViolation(
+            toString(task) + " on " + vm + " belongs to no submitted job or has another spec");
     auto& job = found->second;
     ++job.startCount;
     checkStart(job, vm, pool, task);
     auto& record = job.tasks[task];
     if (!record.activeRuns.empty())
-        broken(
+        reportViolation(
             toString(task) + " starts while another run is active, run " + std::to_string(run) + " on " + vm);
     if (record.isDoneAcknowledged)
-        broken(toString(task) + " starts again after its completion was acknowledged, on " + vm);
+        reportViolation(toString(task) + " starts again after its completion was acknowledged, on " + vm);
     if (!job.isLongRunning() && static_cast<int>(record.acknowledgedFailures.size()) >= job.queue.maxAttempts)
-        broken(toString(task) + " starts again after its last attempt");
+        reportViolation(toString(task) + " starts again after its last attempt");
     record.activeRuns.insert(run);
 }
 
@@ -78,7 +79,7 @@
     auto& job = jobs.at(id);
     job.submissionResult = SubmissionResult::Refused;
     if (job.startCount > 0)
-        broken(id + " was refused although it has run");
+        reportViolation(id + " was refused although it has run");
 }
 
 void Checker::recordFinalState(const std::string& id, const std::string& state)
@@ -86,9 +87,9 @@
     auto& job = jobs.at(id);
     job.finalState = state;
     if (state == "failed" && !job.alwaysFails)
-        broken(id + " is reported as failed, but its tasks do not fail");
+        reportViolation(id + " is reported as failed, but its tasks do not fail");
     if (state == "cancelled" && !job.isCancelRequested)
-        broken(id + " is reported as cancelled without a cancellation request");
+        reportViolation(id + " is reported as cancelled without a cancellation request");
     if (state != "completed")
         return;
     std::size_t required = 0;
@@ -97,7 +98,7 @@
     const auto done = std::count_if(
         job.tasks.begin(), job.tasks.end(), [](const auto& entry) { return entry.second.isDone; });
     if (static_cast<std::size_t>(done) < required)
-        broken(id + " is reported as completed with " + std::to_string(done) + " of "
+        reportViolation(id + " is reported as completed with " + std::to_string(done) + " of "
             + std::to_string(required) + " tasks done");
 }
 
--- a/testsuite/soak/checker.h
+++ b/testsuite/soak/checker.h
@@ -51,7 +51,7 @@
         const std::string& spec) override;
     void ended(const std::string& vm, const TaskId& task, std::uint32_t run, const std::string& how) override;
     void acknowledged(const TaskId& task, std::uint32_t run, const std::string& how) override;
-    void broken(const std::string& what) override;
+    void reportViolation(const std::string& what) override;
     /// Records that the caller got a final refusal of the job.
     void recordRefusal(const std::string& job);
     /// Records and checks the final state that the caller was shown.
--- a/testsuite/soak/soak.cpp
+++ b/testsuite/soak/soak.cpp
@@ -45,7 +45,7 @@
 
 /// A process of the fleet role and the relay between it and the table.
 struct Node {
-    NodePlace addresses;
+    NodeAddresses addresses;
     std::string settings;
     std::string log;
     std::unique_ptr<harness::Process> process;
@@ -174,10 +174,10 @@
     job.queue = m_queues[static_cast<std::size_t>(randomBelow(static_cast<int>(m_queues.size())))];
     job.alwaysFails = randomBelow(25) == 0;
     const bool isLongRunning = randomBelow(40) == 0;
-    const Work work { 40 + randomBelow(160), job.alwaysFails ? 1.0 : 0.0, isLongRunning,
+    const TaskBehaviour work { 40 + randomBelow(160), job.alwaysFails ? 1.0 : 0.0, isLongRunning,
         100 + 100 * randomBelow(5) };
     job.spec.id = id;
-    job.spec.spec = encodeWork(work);
+    job.spec.spec = encodeBehaviour(work);
     const int steps = isLongRunning ? 1 : 1 + randomBelow(3);
     for (int i = 0; i < steps; ++i) {
         fleet::StepSpec step;
@@ -205,7 +205,7 @@
                 return;
             }
             const bool refused
-                = result ? result->status == 503 || result->status == 429 : !result.error().bytesSent;
+                = result ? result->status == 503 || result->status == 429 : !result.error().mayHaveBeenSent;
             const bool unknown = mayBeStored || !refused;
             // A caller repeats a submission until it knows whether the job was accepted.
             if (attempt < maxSubmitAttempts || unknown)
@@ -245,8 +245,8 @@
                 if (!result || m_checker.isFinished(job))
                     return;
                 if (result->status == 410)
-                    return m_checker.broken(id + " was accepted but the fleet does not know it");
-                const auto state = stateIn(*result);
+                    return m_checker.reportViolation(id + " was accepted but the fleet does not know it");
+                const auto state = decodeState(*result);
                 if (state == "completed" || state == "failed" || state == "cancelled")
                     m_checker.recordFinalState(id, state);
             });
@@ -332,7 +332,7 @@
         table.faults.delay = milliseconds(50 + randomBelow(300));
         break;
     default:
-        return table.forgetHistory();
+        return table.truncateHistory();
     }
     schedule(time, [&table] { table.faults = {}; });
 }
@@ -367,7 +367,7 @@
         if (machines.empty() || m_waveCount >= 2)
             return;
         report("maintenance wave of " + std::to_string(machines.size()) + " machines");
-        return m_platform.orderWave(++m_waveCount, machines, 2, seconds(20));
+        return m_platform.requestWave(++m_waveCount, machines, 2, seconds(20));
     }
     }
     schedule(milliseconds(500 + randomBelow(2000)), [this, machine] {
@@ -386,7 +386,7 @@
     for (auto& node : m_nodes) {
         setRelay(node, nlohmann::json::object());
         if (node.process->hasEnded() && !node.isDown)
-            m_checker.broken(node.addresses.node + " exited unexpectedly");
+            m_checker.reportViolation(node.addresses.node + " exited unexpectedly");
     }
     for (auto& [id, job] : m_checker.jobs) {
         if (job.isLongRunning() && !job.isCancelled())
@@ -397,7 +397,7 @@
 bool Soak::isAllWorkFinished()
 {
     for (std::int64_t wave = 1; wave <= m_waveCount; ++wave) {
-        if (!m_platform.isWaveDone(wave))
+        if (!m_platform.isWaveCompleted(wave))
             return false;
     }
     return m_checker.activeRunCount() == 0
@@ -423,10 +423,10 @@
     if (!m_loop.runUntil([this] { return isAllWorkFinished(); }, finishTimeout)) {
         for (const auto& [id, job] : m_checker.jobs) {
             if (!m_checker.isFinished(job))
-                m_checker.broken(
+                m_checker.reportViolation(
                     id + " has no final state after " + std::to_string(job.startCount) + " task starts");
         }
-        m_checker.broken(
+        m_checker.reportViolation(
             "not all work has finished; active runs: " + std::to_string(m_checker.activeRunCount()));
     }
     report(std::to_string(m_jobCount) + " jobs, " + std::to_string(m_checker.runCount) + " runs, "
--- a/testsuite/standins/fake_platform.h
+++ b/testsuite/standins/fake_platform.h
@@ -16,13 +16,13 @@
 
 /// Outcome that the test chooses for a request. Reads treat every value but Answer and Duplicate as a
 /// failure.
-enum class Fate {
+enum class InjectedOutcome {
     Answer, ///< takes effect; answered
     Refuse, ///< no effect; answered as unavailable
-    LoseBefore, ///< no effect; no answer
-    LoseAfter, ///< takes effect; no answer
-    Delay, ///< no answer; takes effect when the test calls arrive()
-    Duplicate, ///< takes effect; answered; a copy of the write arrives with arrive()
+    LoseRequest, ///< no effect; no answer
+    LoseAnswer, ///< takes effect; no answer
+    Delay, ///< no answer; takes effect when the test calls deliverWrite()
+    Duplicate, ///< takes effect; answered; a copy of the write arrives with deliverWrite()
 };
 
 /// Platform with a table and an object store; all other calls return an empty result.
@@ -35,19 +35,19 @@
     {
     }
     /// Number of pending requests.
-    std::size_t waiting() const { return m_pending.size(); }
+    std::size_t pendingRequests() const { return m_pending.size(); }
     /// Number of delayed or duplicated writes that have not arrived yet.
-    std::size_t late() const { return m_delayedWrites.size(); }
+    std::size_t delayedWrites() const { return m_delayedWrites.size(); }
 
     /// Completes the oldest pending request with the given outcome.
-    void decide(Fate outcome)
+    void completeNext(InjectedOutcome outcome)
     {
         auto request = std::move(m_pending.front());
         m_pending.pop_front();
         request(outcome);
     }
     /// Applies one delayed write; \p index is taken modulo their number.
-    void arrive(std::size_t index)
+    void deliverWrite(std::size_t index)
     {
         const auto at = m_delayedWrites.begin() + static_cast<std::ptrdiff_t>(index % m_delayedWrites.size());
         const auto transaction = *at;
@@ -77,14 +77,15 @@
     void commit(const Transaction& transaction, PlatformCallback<TableVersion> callback) override
     {
         ++writes;
-        m_pending.push_back([this, transaction, callback = std::move(callback)](Fate outcome) {
-            if (outcome == Fate::Refuse)
+        m_pending.push_back([this, transaction, callback = std::move(callback)](InjectedOutcome outcome) {
+            if (outcome == InjectedOutcome::Refuse)
                 return callback(tl::make_unexpected(PlatformError {}));
-            if (outcome == Fate::Delay || outcome == Fate::Duplicate)
+            if (outcome == InjectedOutcome::Delay || outcome == InjectedOutcome::Duplicate)
                 m_delayedWrites.push_back(transaction);
-            const bool takesEffect = outcome != Fate::LoseBefore && outcome != Fate::Delay;
+            const bool takesEffect
+                = outcome != InjectedOutcome::LoseRequest && outcome != InjectedOutcome::Delay;
             const auto result = takesEffect ? table.commit(transaction) : PlatformResult<TableVersion>(0);
-            if (outcome == Fate::Answer || outcome == Fate::Duplicate)
+            if (outcome == InjectedOutcome::Answer || outcome == InjectedOutcome::Duplicate)
                 return callback(result);
             callback(
                 tl::make_unexpected(PlatformError { PlatformFailure::OutcomeUnknown, "no answer", "", 0 }));
@@ -116,23 +117,23 @@
     {
         replyEmpty(std::move(callback));
     }
-    void commandVm(std::string_view, VmCommand, PlatformCallback<bool> callback) override
+    void sendVmCommand(std::string_view, VmCommand, PlatformCallback<bool> callback) override
     {
         replyEmpty(std::move(callback));
     }
-    void reportVms(PlatformCallback<std::vector<VmReport>> callback) override
+    void readVmReports(PlatformCallback<std::vector<VmReport>> callback) override
     {
         replyEmpty(std::move(callback));
     }
-    void commandTask(const TaskRequest&, PlatformCallback<bool> callback) override
+    void sendTaskCommand(const TaskRequest&, PlatformCallback<bool> callback) override
     {
         replyEmpty(std::move(callback));
     }
-    void reportTasks(PlatformCallback<std::vector<TaskReport>> callback) override
+    void readTaskReports(PlatformCallback<std::vector<TaskReport>> callback) override
     {
         replyEmpty(std::move(callback));
     }
-    void announceEntry(std::string_view, bool, PlatformCallback<bool> callback) override
+    void setAcceptingConnections(std::string_view, bool, PlatformCallback<bool> callback) override
     {
         replyEmpty(std::move(callback));
     }
@@ -152,18 +153,19 @@
 private:
     template <typename T> void read(std::function<PlatformResult<T>()> answer, PlatformCallback<T> callback)
     {
-        m_pending.push_back([answer = std::move(answer), callback = std::move(callback)](Fate outcome) {
-            if (outcome == Fate::Answer || outcome == Fate::Duplicate)
-                return callback(answer());
-            callback(tl::make_unexpected(PlatformError {}));
-        });
+        m_pending.push_back(
+            [answer = std::move(answer), callback = std::move(callback)](InjectedOutcome outcome) {
+                if (outcome == InjectedOutcome::Answer || outcome == InjectedOutcome::Duplicate)
+                    return callback(answer());
+                callback(tl::make_unexpected(PlatformError {}));
+            });
     }
     template <typename T> void replyEmpty(PlatformCallback<T> callback)
     {
-        m_pending.push_back([callback = std::move(callback)](Fate) { callback(T {}); });
+        m_pending.push_back([callback = std::move(callback)](InjectedOutcome) { callback(T {}); });
     }
 
-    std::deque<std::function<void(Fate)>> m_pending;
+    std::deque<std::function<void(InjectedOutcome)>> m_pending;
     std::vector<Transaction> m_delayedWrites;
 };
 
--- a/testsuite/standins/standin_platform.cpp
+++ b/testsuite/standins/standin_platform.cpp
@@ -33,7 +33,7 @@
         : m_loop(loop)
         , m_vmListDelay(vmListDelay)
         , m_client(loop.base(), {})
-        , m_server(loop.base(), HttpLimits { .bodyBytes = 64 << 20 },
+        , m_server(loop.base(), HttpLimits { .maxBodyBytes = 64 << 20 },
               [this](auto exchange) { serve(std::move(exchange)); })
         , m_reportTimer(loop.base(), [this] { collectReports(); })
     {
@@ -62,7 +62,7 @@
             return reply(exchange, 409, { { "key", error.key }, { "version", error.presentVersion } });
         case PlatformFailure::NotFound:
             return reply(exchange, 404, json::object());
-        case PlatformFailure::HistoryGone:
+        case PlatformFailure::HistoryTruncated:
             return reply(exchange, 410, json::object());
         default:
             return reply(exchange, 503, json::object());
--- a/testsuite/standins/table_model.h
+++ b/testsuite/standins/table_model.h
@@ -63,7 +63,7 @@
     PlatformResult<Changes> changes(std::string_view prefix, TableVersion since) const
     {
         if (since < m_newestDropped || since > m_version)
-            return tl::make_unexpected(PlatformError { PlatformFailure::HistoryGone, "", "", 0 });
+            return tl::make_unexpected(PlatformError { PlatformFailure::HistoryTruncated, "", "", 0 });
         Changes out { m_version, {} };
         auto it = m_history.end();
         while (it != m_history.begin() && std::prev(it)->version > since)
--- a/testsuite/waves/waves_test.cpp
+++ b/testsuite/waves/waves_test.cpp
@@ -22,7 +22,7 @@
         fleet.startEndpoints("east", { "e0", "e1", "e2", "e3", "e4", "e5", "m0", "m1" });
         for (const auto& node : liveNodes)
             fleet.startDaemon(node, "east", { "--lease_ms=1500", "--report_period_ms=100" });
-        fleet.publishList();
+        fleet.publishVmList();
         const auto admin = fleet.daemon("a").admin;
         fleet.declarePool(admin, "pricing", vms);
         fleet.declarePool(admin, "misc", { "m0", "m1" });
