--- a/src/include/damaskworks/peer.h
+++ b/src/include/damaskworks/peer.h
@@ -1,5 +1,5 @@
 /// \file
-/// Exchange of heartbeats and rows between entry VMs over Cap'n Proto RPC.
+/// Exchange of heartbeats and table rows between entry VMs over Cap'n Proto RPC.
 #pragma once
 
 #include <damaskworks/loop.h>
@@ -16,34 +16,35 @@
 
 namespace damask {
 
-/// Errors of the peer layer.
+/// An error of the peer layer.
 struct PeerError {
     std::string detail;
 };
 
-/// Limits of PeerService.
+/// Limits and timeouts of PeerService.
 struct PeerLimits {
-    std::size_t connections = 8; ///< kept open to partners
-    std::size_t hintPartners = 3; ///< told at once of a new table version
-    std::size_t accepted = 256; ///< connections from peers at a time
-    std::size_t fetches = 4; ///< peers that are being served rows at a time
-    std::size_t chunkBytes = 32 * 1024; ///< of rows in one message
-    std::size_t fetchedBytes = 64 * 1024 * 1024; ///< of rows taken from a peer in one set
-    std::chrono::milliseconds hintPeriod { 250 }; ///< shortest time between hints
+    std::size_t outgoingConnections = 8; ///< connections that this node keeps open to peers
+    std::size_t peersPerHint = 3; ///< peers that get the own heartbeat from one call of hint()
+    std::size_t acceptedConnections = 256; ///< open at the same time; further ones are refused
+    std::size_t servedFetches = 4; ///< peers that may fetch rows at the same time
+    std::size_t chunkBytes = 32 * 1024; ///< rows of one message; the row that reaches the limit is still sent
+    std::size_t maxFetchedBytes = 64 * 1024 * 1024; ///< a fetch fails if its rows take more memory
+    std::chrono::milliseconds minHintInterval { 250 }; ///< hint() does nothing if it is called sooner
+    /// Time limit for an answer, and for the first valid call on an accepted connection.
     std::chrono::milliseconds callTimeout { 5'000 };
-    std::chrono::milliseconds silence { 60'000 }; ///< an accepted connection without a valid call ends
-    std::chrono::milliseconds retry { 5'000 }; ///< before an address that failed is tried again
+    std::chrono::milliseconds idleTimeout { 60'000 }; ///< closes an accepted connection without a valid call
+    std::chrono::milliseconds retryDelay { 5'000 }; ///< until a failed address is tried again
 };
 
-/// Spreads heartbeats among the entry VMs with a bounded number of bytes, and hands rows to peers
-/// that can't reach the table.
+/// Exchanges heartbeats with the other entry VMs in messages of bounded size, and serves table rows to
+/// peers that can't reach the table.
 class PeerService {
 public:
     struct Callbacks {
-        std::function<Heartbeat()> self; ///< the present heartbeat of this node
-        std::function<void(const Heartbeat&)> heard; ///< a newer heartbeat of a peer was accepted
-        std::function<RowSet(TableVersion)> rows; ///< rows newer than a version, for a peer
-        std::function<void(const RowSet&)> fetched; ///< rows that a peer handed over
+        std::function<Heartbeat()> ownHeartbeat; ///< makes the current heartbeat of this node
+        std::function<void(const Heartbeat&)> onHeartbeat; ///< called for each accepted heartbeat of a peer
+        std::function<RowSet(TableVersion)> rowsNewerThan; ///< reads the rows to serve to a peer
+        std::function<void(const RowSet&)> onRowsFetched; ///< called with the rows of a complete fetch
     };
 
     PeerService(event_base* base, const Clock& clock, Metrics& metrics, Callbacks callbacks,
@@ -52,21 +53,23 @@
     PeerService(const PeerService&) = delete;
     PeerService& operator=(const PeerService&) = delete;
 
-    /// Binds and listens; port 0 takes a free port. Returns the bound port.
+    /// Listens for connections from peers; port 0 picks a free port. Returns the bound port.
     tl::expected<std::uint16_t, NetError> listen(const Address& address);
-    /// Replaces the peers that the platform lists.
+    /// Replaces the list of entry VMs that the platform reports.
     void setPeers(const std::vector<ListedVm>& peers);
-    /// Sets addresses to try besides the listed and the heard ones.
+    /// Sets the addresses to try in addition to those of the listed VMs and the known members.
     void setSeeds(const std::vector<Address>& seeds);
-    /// Exchanges heartbeats with one partner and drops what has timed out. Call it periodically.
+    /// Starts an exchange of heartbeats with one peer. Closes connections that have timed out and removes
+    /// expired members. The daemon calls it periodically.
     void tick();
-    /// Tells a few partners at once, for example of a new table version.
+    /// Sends the own heartbeat at once to a few connected peers that don't have the newest spec row yet.
     void hint();
-    /// Asks a peer for the rows newer than \p newerThan, unless it is being done.
+    /// Fetches the rows newer than \p newerThan from a peer. Does nothing if a fetch is in progress or no
+    /// live peer has newer rows.
     void fetch(TableVersion newerThan);
-    /// Peers heard of, by node.
+    /// The last known heartbeat of each peer, by node name.
     const std::map<std::string, PeerView>& views() const;
-    /// What is known of the entry VMs.
+    /// The membership state of the entry VMs.
     const membership::State& membership() const;
 
     struct Impl;
--- a/src/libpeer/codec.cpp
+++ b/src/libpeer/codec.cpp
@@ -12,13 +12,13 @@
 
 constexpr std::uint64_t maxDigestWords = 16 * 1024;
 constexpr std::uint64_t maxChunkWords = 1024 * 1024;
-constexpr int maxNesting = 16;
+constexpr int maxNestingDepth = 16;
 
-capnp::ReaderOptions options(std::uint64_t words)
+capnp::ReaderOptions readerOptions(std::uint64_t maxWords)
 {
     capnp::ReaderOptions out;
-    out.traversalLimitInWords = words;
-    out.nestingLimit = maxNesting;
+    out.traversalLimitInWords = maxWords;
+    out.nestingLimit = maxNestingDepth;
     return out;
 }
 
@@ -92,7 +92,7 @@
 Digest decodeDigest(kj::ArrayPtr<const kj::byte> bytes)
 {
     kj::ArrayInputStream in(bytes);
-    capnp::PackedMessageReader message(in, options(maxDigestWords));
+    capnp::PackedMessageReader message(in, readerOptions(maxDigestWords));
     const auto root = message.getRoot<wire::Digest>();
     Digest out;
     out.cluster = root.getCluster().cStr();
@@ -124,7 +124,7 @@
 RowChunk decodeChunk(kj::ArrayPtr<const kj::byte> bytes)
 {
     kj::ArrayInputStream in(bytes);
-    capnp::PackedMessageReader message(in, options(maxChunkWords));
+    capnp::PackedMessageReader message(in, readerOptions(maxChunkWords));
     const auto root = message.getRoot<wire::RowChunk>();
     RowChunk out;
     out.set.since = root.getSince();
--- a/src/libpeer/codec_pvt.h
+++ b/src/libpeer/codec_pvt.h
@@ -1,5 +1,5 @@
 /// \file
-/// Messages between entry VMs as packed Cap'n Proto.
+/// Encodes and decodes the messages between entry VMs as packed Cap'n Proto.
 #pragma once
 
 #include <damaskworks/membership.h>
@@ -10,25 +10,25 @@
 
 namespace damask::codec {
 
-/// Heartbeats of one message; the sender's own is the first.
+/// The heartbeats of one message. The sender's own heartbeat comes first.
 struct Digest {
     std::string cluster;
     std::uint32_t protocol = peerProtocolVersion;
     std::vector<Heartbeat> heartbeats;
 };
 
-/// Part of a set of rows.
+/// Consecutive rows of a set that is sent in several messages.
 struct RowChunk {
     RowSet set;
     bool isLast = false;
 };
 
 kj::Array<kj::byte> encode(const Digest& digest);
-/// Throws kj::Exception if the bytes are no digest, or a larger one than is allowed.
+/// Throws kj::Exception if the bytes are not a valid digest or exceed the size limit.
 Digest decodeDigest(kj::ArrayPtr<const kj::byte> bytes);
 
 kj::Array<kj::byte> encode(const RowChunk& chunk);
-/// Throws kj::Exception if the bytes are no chunk, or a larger one than is allowed.
+/// Throws kj::Exception if the bytes are not a valid chunk or exceed the size limit.
 RowChunk decodeChunk(kj::ArrayPtr<const kj::byte> bytes);
 
 } // namespace damask::codec
--- a/src/libpeer/connections_pvt.h
+++ b/src/libpeer/connections_pvt.h
@@ -1,5 +1,5 @@
 /// \file
-/// Connections between entry VMs.
+/// RPC connections between entry VMs.
 #pragma once
 
 #include "codec_pvt.h"
@@ -13,7 +13,7 @@
 
 namespace damask {
 
-/// Byte stream that counts what passes as `damask_peer_bytes_total`.
+/// Byte stream that counts the bytes read and written in `damask_peer_bytes_total`.
 class CountingStream final : public kj::AsyncIoStream {
 public:
     CountingStream(kj::Own<kj::AsyncIoStream> inner, Metrics& metrics);
@@ -28,7 +28,7 @@
     Metrics& m_metrics;
 };
 
-/// A connection that a peer opened.
+/// A connection opened by a peer. This node is the RPC server.
 struct AcceptedConnection {
     AcceptedConnection(kj::Own<kj::AsyncIoStream> stream, kj::Own<wire::Peer::Server> server);
     kj::Own<kj::AsyncIoStream> stream;
@@ -37,23 +37,22 @@
     TimePoint lastValidCall {};
     unsigned validCalls = 0;
     unsigned refusedCalls = 0;
-    /// Rows being handed to the peer.
-    std::optional<RowSet> served;
+    std::optional<RowSet> servedRows; ///< of the peer's fetch in progress
 };
 
-/// A connection to a peer.
+/// A connection opened by this node. The peer is the RPC server.
 struct OutgoingConnection {
     explicit OutgoingConnection(kj::Own<kj::AsyncIoStream> stream);
     kj::Own<kj::AsyncIoStream> stream;
     capnp::TwoPartyVatNetwork network;
     capnp::RpcSystem<capnp::rpc::twoparty::VatId> system;
     wire::Peer::Client peer;
-    std::uint64_t id = 0;
-    TimePoint opened {};
-    TimePoint calledAt {};
-    std::string node; ///< of the peer, once it has answered
-    bool busy = false;
-    bool broken = false;
+    std::uint64_t id = 0; ///< distinguishes this connection from earlier ones to the same address
+    TimePoint openedAt {};
+    TimePoint lastExchangeAt {}; ///< start of the latest exchange
+    std::string node; ///< name of the peer; empty until its first answer
+    bool isExchanging = false; ///< an exchange waits for its answer
+    bool isBroken = false; ///< closed by the next tick
 };
 
 } // namespace damask
--- a/src/libpeer/peer.capnp
+++ b/src/libpeer/peer.capnp
@@ -7,7 +7,7 @@
   pool @0 :Text;
   inFlight @1 :UInt32;
   queued @2 :UInt32;
-  arrivals @3 :Float32;    # requests a second, smoothed
+  arrivals @3 :Float32;    # requests per second, smoothed
 }
 
 struct Heartbeat {
@@ -19,16 +19,16 @@
   tableVersion @5 :UInt64;
   loads @6 :List(PoolLoad);
   sequence @7 :UInt64;
-  ip @8 :Text;             # of the peer port
+  ip @8 :Text;             # the address that accepts connections from peers
   port @9 :UInt16;
-  ageMs @10 :UInt32;       # since the node itself made it
-  specVersion @11 :UInt64; # of the newest spec row that the node has
+  ageMs @10 :UInt32;       # since the node made this heartbeat
+  specVersion @11 :UInt64; # version of the newest spec row that the node has
 }
 
 struct Digest {
   cluster @0 :Text;
   protocol @1 :UInt32;
-  heartbeats @2 :List(Heartbeat);   # the sender's own first
+  heartbeats @2 :List(Heartbeat);   # the sender's own heartbeat comes first
 }
 
 struct Row {
@@ -39,19 +39,21 @@
 }
 
 struct RowChunk {
-  since @0 :UInt64;        # 0: the set holds every row
-  version @1 :UInt64;      # table version that the set stands for
-  rows @2 :List(Row);      # in order of version
+  since @0 :UInt64;        # 0: the set contains every row; otherwise only rows newer than this version
+  version @1 :UInt64;      # table version after the rows of the set
+  rows @2 :List(Row);      # in ascending order of version
   isLast @3 :Bool;
 }
 
 interface Peer {
   exchange @0 (digest :Data, isHint :Bool) -> (digest :Data);
-  # Digests are packed messages. Those of a hint hold only the own heartbeat, both ways.
+  # Both digests are packed Digest messages. If isHint is set, the request and the response contain only
+  # the sender's own heartbeat, without loads.
 
   fetch @1 (cluster :Text, protocol :UInt32, newerThan :UInt64, version :UInt64, first :UInt32)
       -> (chunk :Data);
-  # Rows newer than the caller's, in chunks: `version` is 0 in the first call and that of the first
-  # chunk in the next ones, `first` the number of rows that the caller has of the set. A chunk of
-  # another version than asked for starts again at its first row.
+  # Returns one chunk of the rows newer than newerThan, as a packed RowChunk message. The client sets
+  # `version` to 0 in its first call and to the version of the first chunk in later calls. `first` is the
+  # number of rows of the set that the client already has. If the chunk has another version than the
+  # client asked for, the server has started a new set and sends it from its first row.
 }
--- a/src/libpeer/peer_connections.cpp
+++ b/src/libpeer/peer_connections.cpp
@@ -5,9 +5,9 @@
 namespace damask {
 namespace {
 
-/// A peer that sends more in one message is cut off.
+/// The RPC system closes a connection that sends a larger message.
 constexpr std::uint64_t maxMessageWords = 128 * 1024;
-constexpr int maxNesting = 16;
+constexpr int maxNestingDepth = 16;
 
 constexpr std::string_view receivedBytes = "damask_peer_bytes_total{direction=\"received\"}";
 constexpr std::string_view sentBytes = "damask_peer_bytes_total{direction=\"sent\"}";
@@ -16,11 +16,11 @@
 {
     capnp::ReaderOptions options;
     options.traversalLimitInWords = maxMessageWords;
-    options.nestingLimit = maxNesting;
+    options.nestingLimit = maxNestingDepth;
     return options;
 }
 
-wire::Peer::Client bootstrap(capnp::RpcSystem<capnp::rpc::twoparty::VatId>& system)
+wire::Peer::Client bootstrapPeer(capnp::RpcSystem<capnp::rpc::twoparty::VatId>& system)
 {
     capnp::MallocMessageBuilder message;
     auto id = message.initRoot<capnp::rpc::twoparty::VatId>();
@@ -61,18 +61,19 @@
 
 void CountingStream::shutdownWrite() { m_inner->shutdownWrite(); }
 
-AcceptedConnection::AcceptedConnection(kj::Own<kj::AsyncIoStream> s, kj::Own<wire::Peer::Server> server)
-    : stream(kj::mv(s))
+AcceptedConnection::AcceptedConnection(
+    kj::Own<kj::AsyncIoStream> byteStream, kj::Own<wire::Peer::Server> server)
+    : stream(kj::mv(byteStream))
     , network(*stream, capnp::rpc::twoparty::Side::SERVER, readerOptions())
     , system(capnp::makeRpcServer(network, kj::mv(server)))
 {
 }
 
-OutgoingConnection::OutgoingConnection(kj::Own<kj::AsyncIoStream> s)
-    : stream(kj::mv(s))
+OutgoingConnection::OutgoingConnection(kj::Own<kj::AsyncIoStream> byteStream)
+    : stream(kj::mv(byteStream))
     , network(*stream, capnp::rpc::twoparty::Side::CLIENT, readerOptions())
     , system(capnp::makeRpcClient(network))
-    , peer(bootstrap(system))
+    , peer(bootstrapPeer(system))
 {
 }
 
--- a/src/libpeer/peer_service.cpp
+++ b/src/libpeer/peer_service.cpp
@@ -11,14 +11,16 @@
 
 constexpr std::size_t maxNameLength = 64;
 constexpr std::size_t maxLoads = 512;
-/// Refused calls after which a connection is closed.
+/// An accepted connection is closed after more refused calls than this.
 constexpr unsigned maxRefusedCalls = 8;
-/// One tick in so many replaces a partner by another one.
-constexpr unsigned ticksPerPartner = 8;
-/// Times that a peer may start a set of rows again because its rows changed.
-constexpr int maxRestarts = 3;
+/// At the connection limit, one tick in this many (on average) replaces the oldest connection by one to a
+/// peer that is not connected yet.
+constexpr unsigned ticksPerReplacement = 8;
+/// Times that a fetch may begin a row set, counting the restarts because the peer's rows changed.
+constexpr int maxFetchStarts = 3;
 
-std::size_t sizeOf(const Row& row) { return row.key.size() + row.value.size() + sizeof(Row); }
+/// Approximate memory use of a row, in bytes.
+std::size_t approximateSize(const Row& row) { return row.key.size() + row.value.size() + sizeof(Row); }
 
 } // namespace
 
@@ -36,17 +38,17 @@
     {
     }
 
-    /// Serves one connection from a peer.
+    /// Handles the calls on one accepted connection.
     class Server final : public wire::Peer::Server {
     public:
-        Server(Impl& impl, std::uint64_t connection)
+        Server(Impl& impl, std::uint64_t connectionId)
             : m_impl(impl)
-            , m_connection(connection)
+            , m_connectionId(connectionId)
         {
         }
         kj::Promise<void> exchange(ExchangeContext context) override
         {
-            m_impl.checked(m_connection, [&] { m_impl.hear(context.getParams().getDigest()); });
+            m_impl.handleCall(m_connectionId, [&] { m_impl.receiveDigest(context.getParams().getDigest()); });
             auto answer = m_impl.makeDigest(!context.getParams().getIsHint());
             context.getResults().setDigest(answer);
             return kj::READY_NOW;
@@ -54,50 +56,51 @@
         kj::Promise<void> fetch(FetchContext context) override
         {
             kj::Array<kj::byte> chunk;
-            m_impl.checked(
-                m_connection, [&] { chunk = m_impl.serveRows(m_connection, context.getParams()); });
+            m_impl.handleCall(
+                m_connectionId, [&] { chunk = m_impl.serveRows(m_connectionId, context.getParams()); });
             context.getResults().setChunk(chunk);
             return kj::READY_NOW;
         }
 
     private:
         Impl& m_impl;
-        std::uint64_t m_connection;
+        std::uint64_t m_connectionId;
     };
 
-    /// A set of rows being taken from a peer.
+    /// A fetch of rows from a peer.
     struct Fetch {
         Address address;
         TableVersion newerThan = 0;
         RowSet set;
         std::size_t bytes = 0;
-        int starts = 0;
+        int starts = 0; ///< times that the peer began a row set
         TimePoint calledAt {};
     };
 
-    // Connections from peers.
+    // Accepted connections.
 
     void accept(kj::Own<kj::AsyncIoStream> stream)
     {
-        if (accepted.size() >= limits.accepted) {
+        if (accepted.size() >= limits.acceptedConnections) {
             metrics.count("damask_peer_refused_total");
             return;
         }
-        const auto id = nextConnection++;
+        const auto id = nextConnectionId++;
         auto connection = std::make_unique<AcceptedConnection>(
             kj::heap<CountingStream>(kj::mv(stream), metrics), kj::heap<Server>(*this, id));
         connection->lastValidCall = clock.now();
         tasks.add(connection->network.onDisconnect().then(
-            [this, id] { dropLater(id); }, [this, id](kj::Exception&&) { dropLater(id); }));
+            [this, id] { closeAcceptedLater(id); }, [this, id](kj::Exception&&) { closeAcceptedLater(id); }));
         accepted.emplace(id, std::move(connection));
     }
 
-    void dropLater(std::uint64_t id)
+    void closeAcceptedLater(std::uint64_t id)
     {
-        tasks.add(kj::evalLater([this, id] { drop(id); }));
+        // Deferred, because this runs in a callback of the connection's own network.
+        tasks.add(kj::evalLater([this, id] { closeAccepted(id); }));
     }
 
-    void drop(std::uint64_t id)
+    void closeAccepted(std::uint64_t id)
     {
         auto found = accepted.find(id);
         if (found == accepted.end())
@@ -107,8 +110,8 @@
         accepted.erase(found);
     }
 
-    /// Runs one call of a peer; counts it as refused if it throws.
-    template <typename Call> void checked(std::uint64_t id, Call call)
+    /// Runs \p call for a connection. If it throws, counts the call as refused and passes the error on.
+    template <typename Call> void handleCall(std::uint64_t id, Call call)
     {
         auto& connection = *accepted.at(id);
         KJ_IF_MAYBE (problem, kj::runCatchingExceptions(call)) {
@@ -120,40 +123,42 @@
         connection.lastValidCall = clock.now();
     }
 
-    void dropSilent()
+    /// Closes idle connections and those with too many refused calls, and ends abandoned fetches.
+    void closeIdleAccepted()
     {
         const auto now = clock.now();
-        std::vector<std::uint64_t> silent;
+        std::vector<std::uint64_t> closing;
         for (auto& [id, connection] : accepted) {
             const auto idle = now - connection->lastValidCall;
-            const auto limit = connection->validCalls > 0 ? limits.silence : limits.callTimeout;
+            const auto limit = connection->validCalls > 0 ? limits.idleTimeout : limits.callTimeout;
             if (idle >= limit || connection->refusedCalls > maxRefusedCalls)
-                silent.push_back(id);
+                closing.push_back(id);
             if (idle >= limits.callTimeout)
-                connection->served.reset();
+                connection->servedRows.reset();
         }
-        for (const auto id : silent)
-            drop(id);
+        for (const auto id : closing)
+            closeAccepted(id);
     }
 
     kj::Array<kj::byte> serveRows(std::uint64_t id, wire::Peer::FetchParams::Reader params)
     {
-        check(params.getCluster().cStr(), params.getProtocol());
-        auto& served = accepted.at(id)->served;
+        checkClusterAndProtocol(params.getCluster().cStr(), params.getProtocol());
+        auto& served = accepted.at(id)->servedRows;
         std::size_t first = params.getFirst();
         if (!served || params.getVersion() != served->version || first > served->rows.size()) {
             served.reset();
-            const auto fetches = std::count_if(accepted.begin(), accepted.end(),
-                [](const auto& entry) { return bool(entry.second->served); });
-            KJ_REQUIRE(static_cast<std::size_t>(fetches) < limits.fetches, "too many peers fetch rows");
-            served = callbacks.rows(params.getNewerThan());
+            const auto servedFetches = std::count_if(accepted.begin(), accepted.end(),
+                [](const auto& entry) { return bool(entry.second->servedRows); });
+            KJ_REQUIRE(static_cast<std::size_t>(servedFetches) < limits.servedFetches,
+                "too many concurrent row fetches");
+            served = callbacks.rowsNewerThan(params.getNewerThan());
             first = 0;
         }
         codec::RowChunk chunk { { served->since, served->version, {} }, false };
         std::size_t bytes = 0;
         auto next = first;
         for (; next < served->rows.size() && bytes < limits.chunkBytes; ++next) {
-            bytes += sizeOf(served->rows[next]);
+            bytes += approximateSize(served->rows[next]);
             chunk.set.rows.push_back(served->rows[next]);
         }
         chunk.isLast = next == served->rows.size();
@@ -167,7 +172,7 @@
 
     kj::Array<kj::byte> makeDigest(bool withOthers)
     {
-        auto self = callbacks.self();
+        auto self = callbacks.ownHeartbeat();
         state.self = self.node;
         state.incarnation = self.incarnation;
         if (!withOthers)
@@ -181,35 +186,37 @@
         return codec::encode(digest);
     }
 
-    /// Throws towards the peer if it is of another cluster or protocol.
-    void check(const std::string& cluster, std::uint32_t protocol)
+    /// Throws if the peer belongs to another cluster or uses another protocol version.
+    void checkClusterAndProtocol(const std::string& cluster, std::uint32_t protocol)
     {
-        const auto self = callbacks.self();
-        KJ_REQUIRE(cluster == self.cluster, "peer of another cluster");
-        KJ_REQUIRE(protocol == self.protocol, "peer of another protocol");
+        const auto self = callbacks.ownHeartbeat();
+        KJ_REQUIRE(cluster == self.cluster, "peer belongs to another cluster");
+        KJ_REQUIRE(protocol == self.protocol, "peer uses another protocol version");
     }
 
-    /// Takes over a peer's digest; throws if it is refused. Returns the node that sent it.
-    std::string hear(kj::ArrayPtr<const kj::byte> bytes)
+    /// Applies a peer's digest to the membership. Throws if the digest is invalid. Returns the node that
+    /// sent it, or an empty string if this node has connected to itself.
+    std::string receiveDigest(kj::ArrayPtr<const kj::byte> bytes)
     {
         const auto digest = codec::decodeDigest(bytes);
-        check(digest.cluster, digest.protocol);
-        KJ_REQUIRE(!digest.heartbeats.empty(), "digest without a sender");
+        checkClusterAndProtocol(digest.cluster, digest.protocol);
+        KJ_REQUIRE(!digest.heartbeats.empty(), "digest contains no heartbeat");
         for (const auto& heartbeat : digest.heartbeats) {
-            const bool named = !heartbeat.node.empty() && heartbeat.node.size() <= maxNameLength;
-            KJ_REQUIRE(named && heartbeat.loads.size() <= maxLoads, "heartbeat out of bounds");
+            const bool hasValidName = !heartbeat.node.empty() && heartbeat.node.size() <= maxNameLength;
+            KJ_REQUIRE(hasValidName && heartbeat.loads.size() <= maxLoads,
+                "heartbeat has an invalid node name or too many loads");
         }
-        const auto self = callbacks.self();
+        const auto self = callbacks.ownHeartbeat();
         state.self = self.node;
         state.incarnation = self.incarnation;
         for (const auto& heartbeat : digest.heartbeats)
-            observe(heartbeat);
+            observeHeartbeat(heartbeat);
         const auto& sender = digest.heartbeats.front();
         const bool isSelf = sender.node == self.node && sender.incarnation == self.incarnation;
         return isSelf ? std::string() : sender.node;
     }
 
-    void observe(const Heartbeat& heartbeat)
+    void observeHeartbeat(const Heartbeat& heartbeat)
     {
         const bool isKnown = state.members.contains(heartbeat.node);
         const bool wasSuperseded = state.superseded;
@@ -221,25 +228,25 @@
         if (!isKnown)
             logEvent(LogLevel::Info, "peer_joined",
                 { { "peer", heartbeat.node }, { "data_centre", heartbeat.dataCentre } });
-        callbacks.heard(heartbeat);
+        callbacks.onHeartbeat(heartbeat);
     }
 
-    // Connections to peers.
+    // Outgoing connections.
 
     std::optional<Address> addressOf(const std::string& node) const
     {
         auto member = state.members.find(node);
         if (member != state.members.end() && member->second.heartbeat.address.port != 0)
             return member->second.heartbeat.address;
-        auto found = listed.find(node);
-        return found == listed.end() ? std::nullopt : std::optional(found->second);
+        auto found = listedAddresses.find(node);
+        return found == listedAddresses.end() ? std::nullopt : std::optional(found->second);
     }
 
-    /// Addresses that may be tried now.
-    std::vector<Address> candidates() const
+    /// Known addresses other than the own ones and those that failed within the retry delay.
+    std::vector<Address> connectableAddresses() const
     {
         std::set<Address> out(seeds.begin(), seeds.end());
-        for (const auto& [node, address] : listed)
+        for (const auto& [node, address] : listedAddresses)
             out.insert(address);
         for (const auto& [node, view] : state.members) {
             if (membership::phase(state, view, clock.now()) != membership::Phase::Suspected
@@ -254,21 +261,22 @@
         return { out.begin(), out.end() };
     }
 
-    OutgoingConnection& open(const Address& address)
+    /// Returns the connection to an address; opens one if there is none.
+    OutgoingConnection& connectionTo(const Address& address)
     {
-        auto& slot = outgoing[address];
-        if (!slot) {
-            slot = std::make_unique<OutgoingConnection>(
+        auto& connection = outgoing[address];
+        if (!connection) {
+            connection = std::make_unique<OutgoingConnection>(
                 kj::heap<CountingStream>(rpc::connect(base, address), metrics));
-            slot->id = nextConnection++;
-            slot->opened = clock.now();
+            connection->id = nextConnectionId++;
+            connection->openedAt = clock.now();
             metrics.count("damask_peer_connections_total");
         }
-        return *slot;
+        return *connection;
     }
 
-    /// The connection if it is still the one with this id.
-    OutgoingConnection* find(const Address& address, std::uint64_t id)
+    /// Returns the connection to an address, or null if it is closed or has been replaced since.
+    OutgoingConnection* findConnection(const Address& address, std::uint64_t id)
     {
         auto found = outgoing.find(address);
         return found == outgoing.end() || found->second->id != id ? nullptr : found->second.get();
@@ -276,88 +284,94 @@
 
     void exchangeWith(const Address& address, bool withOthers)
     {
-        auto& connection = open(address);
-        if (connection.busy || connection.broken)
+        auto& connection = connectionTo(address);
+        if (connection.isExchanging || connection.isBroken)
             return;
-        connection.busy = true;
-        connection.calledAt = clock.now();
+        connection.isExchanging = true;
+        connection.lastExchangeAt = clock.now();
         auto request = connection.peer.exchangeRequest();
         request.setDigest(makeDigest(withOthers));
         request.setIsHint(!withOthers);
         metrics.count("damask_peer_exchanges_total");
-        tasks.add(request.send().then([this, address, id = connection.id](
-                                          auto&& response) { onAnswer(address, id, response.getDigest()); },
-            [this, address, id = connection.id](kj::Exception&&) { onFailure(address, id); }));
+        tasks.add(request.send().then(
+            [this, address, id = connection.id](
+                auto&& response) { onExchangeAnswered(address, id, response.getDigest()); },
+            [this, address, id = connection.id](kj::Exception&&) { onCallFailed(address, id); }));
     }
 
-    void onAnswer(const Address& address, std::uint64_t id, kj::ArrayPtr<const kj::byte> digest)
+    void onExchangeAnswered(const Address& address, std::uint64_t id, kj::ArrayPtr<const kj::byte> digest)
     {
         std::string node;
-        KJ_IF_MAYBE (problem, kj::runCatchingExceptions([&] { node = hear(digest); })) {
+        KJ_IF_MAYBE (problem, kj::runCatchingExceptions([&] { node = receiveDigest(digest); })) {
             (void)problem;
             metrics.count("damask_peer_refused_total");
-            return onFailure(address, id);
+            return onCallFailed(address, id);
         }
         retryAt.erase(address);
-        auto* connection = find(address, id);
+        auto* connection = findConnection(address, id);
         if (!connection)
             return;
-        connection->busy = false;
+        connection->isExchanging = false;
         connection->node = node;
         if (!node.empty())
             return;
+        // This node has connected to itself.
         ownAddresses.insert(address);
-        connection->broken = true;
+        connection->isBroken = true;
     }
 
-    void onFailure(const Address& address, std::uint64_t id)
+    void onCallFailed(const Address& address, std::uint64_t id)
     {
         metrics.count("damask_peer_failures_total");
-        retryAt[address] = clock.now() + limits.retry;
-        if (auto* connection = find(address, id))
-            connection->broken = true;
-        if (fetching && fetching->address == address)
-            fetching.reset();
+        retryAt[address] = clock.now() + limits.retryDelay;
+        if (auto* connection = findConnection(address, id))
+            connection->isBroken = true;
+        if (currentFetch && currentFetch->address == address)
+            currentFetch.reset();
     }
 
-    void dropBroken()
+    /// Fails the calls that have timed out, and closes broken connections.
+    void closeBroken()
     {
         const auto now = clock.now();
         for (auto& [address, connection] : outgoing) {
-            if (connection->busy && now - connection->calledAt >= limits.callTimeout)
-                onFailure(address, connection->id);
+            if (connection->isExchanging && now - connection->lastExchangeAt >= limits.callTimeout)
+                onCallFailed(address, connection->id);
         }
-        if (fetching && now - fetching->calledAt >= limits.callTimeout)
-            onFailure(fetching->address, 0);
-        std::erase_if(outgoing, [](const auto& entry) { return entry.second->broken; });
+        if (currentFetch && now - currentFetch->calledAt >= limits.callTimeout)
+            onCallFailed(currentFetch->address, 0);
+        std::erase_if(outgoing, [](const auto& entry) { return entry.second->isBroken; });
         std::erase_if(retryAt, [&](const auto& entry) { return entry.second <= now; });
     }
 
-    /// The partner of this tick: mostly one with an open connection, now and then a new one.
-    std::optional<Address> choosePartner()
+    /// Chooses the peer of this tick: a new one while fewer connections than allowed are open, otherwise
+    /// mostly one that is connected already.
+    std::optional<Address> choosePeer()
     {
-        auto fresh = candidates();
-        std::erase_if(fresh, [&](const Address& address) { return outgoing.contains(address); });
-        const bool isFull = outgoing.size() >= limits.connections;
-        const bool replaces = isFull && !fresh.empty() && random() % ticksPerPartner == 0;
-        if (replaces)
-            closeOldest();
-        if (!fresh.empty() && (!isFull || replaces))
-            return fresh[random() % fresh.size()];
+        auto unconnected = connectableAddresses();
+        std::erase_if(unconnected, [&](const Address& address) { return outgoing.contains(address); });
+        const bool isFull = outgoing.size() >= limits.outgoingConnections;
+        const bool shouldReplace = isFull && !unconnected.empty() && random() % ticksPerReplacement == 0;
+        if (shouldReplace)
+            closeOldestUnused();
+        if (!unconnected.empty() && (!isFull || shouldReplace))
+            return unconnected[random() % unconnected.size()];
         if (outgoing.empty())
             return std::nullopt;
-        // In turn, so that no partner waits for long.
+        // The peer that has waited the longest, so that every connection is used in turn.
         return std::min_element(outgoing.begin(), outgoing.end(), [](const auto& one, const auto& other) {
-            return one.second->calledAt < other.second->calledAt;
+            return one.second->lastExchangeAt < other.second->lastExchangeAt;
         })->first;
     }
 
-    void closeOldest()
+    /// Closes the oldest connection that is not in use, if there is one.
+    void closeOldestUnused()
     {
         auto oldest = outgoing.end();
         for (auto it = outgoing.begin(); it != outgoing.end(); ++it) {
-            const bool inUse = it->second->busy || (fetching && fetching->address == it->first);
-            if (!inUse && (oldest == outgoing.end() || it->second->opened < oldest->second->opened))
+            const bool inUse
+                = it->second->isExchanging || (currentFetch && currentFetch->address == it->first);
+            if (!inUse && (oldest == outgoing.end() || it->second->openedAt < oldest->second->openedAt))
                 oldest = it;
         }
         if (oldest != outgoing.end())
@@ -366,47 +380,47 @@
 
     void tick()
     {
-        dropBroken();
-        dropSilent();
+        closeBroken();
+        closeIdleAccepted();
         membership::expire(state, clock.now());
-        if (const auto partner = choosePartner())
-            exchangeWith(*partner, true);
+        if (const auto peer = choosePeer())
+            exchangeWith(*peer, true);
     }
 
-    void hint()
+    void sendHints()
     {
         const auto now = clock.now();
-        if (lastHint != TimePoint {} && now - lastHint < limits.hintPeriod)
+        if (lastHintAt != TimePoint {} && now - lastHintAt < limits.minHintInterval)
             return;
-        lastHint = now;
-        const auto specVersion = callbacks.self().specVersion;
-        std::vector<Address> partners;
+        lastHintAt = now;
+        const auto specVersion = callbacks.ownHeartbeat().specVersion;
+        std::vector<Address> peers;
         for (const auto& [address, connection] : outgoing) {
             auto member = state.members.find(connection->node);
             if (member == state.members.end() || member->second.heartbeat.specVersion < specVersion)
-                partners.push_back(address);
+                peers.push_back(address);
         }
-        std::shuffle(partners.begin(), partners.end(), random);
-        for (std::size_t i = 0; i < std::min(partners.size(), limits.hintPartners); ++i)
-            exchangeWith(partners[i], false);
+        std::shuffle(peers.begin(), peers.end(), random);
+        for (std::size_t i = 0; i < std::min(peers.size(), limits.peersPerHint); ++i)
+            exchangeWith(peers[i], false);
     }
 
-    // Rows taken from a peer.
+    // Rows fetched from a peer.
 
-    /// A live member that has newer rows, of the own data centre if there is one.
+    /// Chooses a live member that has newer rows, in the own data centre if possible.
     std::optional<Address> chooseSource(TableVersion newerThan)
     {
-        const auto dataCentre = callbacks.self().dataCentre;
-        std::vector<Address> near;
-        std::vector<Address> far;
+        const auto dataCentre = callbacks.ownHeartbeat().dataCentre;
+        std::vector<Address> inDataCentre;
+        std::vector<Address> elsewhere;
         for (const auto& [node, view] : state.members) {
             const auto address = addressOf(node);
             const bool isLive = membership::phase(state, view, clock.now()) != membership::Phase::Suspected;
             if (!isLive || !address || view.heartbeat.tableVersion <= newerThan || retryAt.contains(*address))
                 continue;
-            (view.heartbeat.dataCentre == dataCentre ? near : far).push_back(*address);
+            (view.heartbeat.dataCentre == dataCentre ? inDataCentre : elsewhere).push_back(*address);
         }
-        const auto& sources = near.empty() ? far : near;
+        const auto& sources = inDataCentre.empty() ? elsewhere : inDataCentre;
         if (sources.empty())
             return std::nullopt;
         return sources[random() % sources.size()];
@@ -414,64 +428,65 @@
 
     void fetch(TableVersion newerThan)
     {
-        if (fetching)
+        if (currentFetch)
             return;
         const auto source = chooseSource(newerThan);
         if (!source)
             return;
-        fetching = Fetch { *source, newerThan };
+        currentFetch = Fetch { *source, newerThan };
         metrics.count("damask_peer_fetches_total");
-        fetchNext();
+        fetchNextChunk();
     }
 
-    void fetchNext()
+    void fetchNextChunk()
     {
-        auto& connection = open(fetching->address);
-        fetching->calledAt = clock.now();
-        const auto self = callbacks.self();
+        auto& connection = connectionTo(currentFetch->address);
+        currentFetch->calledAt = clock.now();
+        const auto self = callbacks.ownHeartbeat();
         auto request = connection.peer.fetchRequest();
         request.setCluster(self.cluster);
         request.setProtocol(self.protocol);
-        request.setNewerThan(fetching->newerThan);
-        request.setVersion(fetching->set.version);
-        request.setFirst(static_cast<std::uint32_t>(fetching->set.rows.size()));
-        const auto address = fetching->address;
+        request.setNewerThan(currentFetch->newerThan);
+        request.setVersion(currentFetch->set.version);
+        request.setFirst(static_cast<std::uint32_t>(currentFetch->set.rows.size()));
+        const auto address = currentFetch->address;
         tasks.add(request.send().then(
             [this, address, id = connection.id](auto&& response) {
-                if (fetching && fetching->address == address)
+                if (currentFetch && currentFetch->address == address)
                     onChunk(id, response.getChunk());
             },
-            [this, address, id = connection.id](kj::Exception&&) { onFailure(address, id); }));
+            [this, address, id = connection.id](kj::Exception&&) { onCallFailed(address, id); }));
     }
 
-    void onChunk(std::uint64_t connection, kj::ArrayPtr<const kj::byte> bytes)
+    void onChunk(std::uint64_t connectionId, kj::ArrayPtr<const kj::byte> bytes)
     {
         KJ_IF_MAYBE (problem, kj::runCatchingExceptions([&] { addChunk(codec::decodeChunk(bytes)); })) {
             (void)problem;
             metrics.count("damask_peer_refused_total");
-            return onFailure(fetching->address, connection);
+            return onCallFailed(currentFetch->address, connectionId);
         }
     }
 
     void addChunk(codec::RowChunk chunk)
     {
-        auto& set = fetching->set;
-        if (chunk.set.version != set.version || fetching->starts == 0) {
-            KJ_REQUIRE(++fetching->starts <= maxRestarts, "the peer's rows keep changing");
+        auto& set = currentFetch->set;
+        if (chunk.set.version != set.version || currentFetch->starts == 0) {
+            KJ_REQUIRE(++currentFetch->starts <= maxFetchStarts,
+                "the peer's rows changed too often during the fetch");
             set = { chunk.set.since, chunk.set.version, {} };
-            fetching->bytes = 0;
+            currentFetch->bytes = 0;
         }
-        KJ_REQUIRE(chunk.isLast || !chunk.set.rows.empty(), "chunk without rows");
+        KJ_REQUIRE(chunk.isLast || !chunk.set.rows.empty(), "a chunk before the last one contains no rows");
         for (auto& row : chunk.set.rows) {
-            fetching->bytes += sizeOf(row);
+            currentFetch->bytes += approximateSize(row);
             set.rows.push_back(std::move(row));
         }
-        KJ_REQUIRE(fetching->bytes <= limits.fetchedBytes, "the peer sends too many rows");
+        KJ_REQUIRE(currentFetch->bytes <= limits.maxFetchedBytes, "the fetched rows exceed the size limit");
         if (!chunk.isLast)
-            return fetchNext();
-        const auto whole = std::move(set);
-        fetching.reset();
-        callbacks.fetched(whole);
+            return fetchNextChunk();
+        const auto complete = std::move(set);
+        currentFetch.reset();
+        callbacks.onRowsFetched(complete);
     }
 
     void taskFailed(kj::Exception&&) override { metrics.count("damask_peer_failures_total"); }
@@ -483,15 +498,15 @@
     PeerLimits limits;
     std::mt19937_64 random;
     membership::State state;
-    std::map<std::string, Address> listed;
+    std::map<std::string, Address> listedAddresses; ///< of the platform's entry VMs, by node
     std::vector<Address> seeds;
-    std::set<Address> ownAddresses;
-    std::map<Address, TimePoint> retryAt;
+    std::set<Address> ownAddresses; ///< that have turned out to reach this node itself
+    std::map<Address, TimePoint> retryAt; ///< of addresses that failed
     std::map<Address, std::unique_ptr<OutgoingConnection>> outgoing;
     std::map<std::uint64_t, std::unique_ptr<AcceptedConnection>> accepted;
-    std::uint64_t nextConnection = 1;
-    std::optional<Fetch> fetching;
-    TimePoint lastHint {};
+    std::uint64_t nextConnectionId = 1;
+    std::optional<Fetch> currentFetch;
+    TimePoint lastHintAt {};
     kj::TaskSet tasks;
     RpcListener listener;
 };
@@ -511,16 +526,16 @@
 
 void PeerService::setPeers(const std::vector<ListedVm>& peers)
 {
-    m_impl->listed.clear();
+    m_impl->listedAddresses.clear();
     for (const auto& peer : peers)
-        m_impl->listed[peer.id] = peer.address;
+        m_impl->listedAddresses[peer.id] = peer.address;
 }
 
 void PeerService::setSeeds(const std::vector<Address>& seeds) { m_impl->seeds = seeds; }
 
 void PeerService::tick() { m_impl->tick(); }
 
-void PeerService::hint() { m_impl->hint(); }
+void PeerService::hint() { m_impl->sendHints(); }
 
 void PeerService::fetch(TableVersion newerThan) { m_impl->fetch(newerThan); }
 
--- a/src/libpeer/peer_test.cpp
+++ b/src/libpeer/peer_test.cpp
@@ -15,8 +15,8 @@
                  ++self.sequence;
                  return self;
              },
-                [this](const Heartbeat&) { ++heard; }, [this](TableVersion) { return rows; },
-                [this](const RowSet& set) { fetched.push_back(set); } },
+                [this](const Heartbeat&) { ++heartbeatCount; }, [this](TableVersion) { return rows; },
+                [this](const RowSet& set) { fetchedSets.push_back(set); } },
             1, limits)
         , port(*service.listen({ "127.0.0.1", 0 }))
     {
@@ -25,7 +25,7 @@
         self.incarnation = 1;
         self.loads = { { "pricing", 3, 4, 5.0F } };
     }
-    ListedVm listed() const
+    ListedVm asListedVm() const
     {
         ListedVm vm;
         vm.id = self.node;
@@ -36,24 +36,24 @@
     ManualClock clock;
     Metrics metrics;
     Heartbeat self;
-    int heard = 0;
+    int heartbeatCount = 0; ///< heartbeats of peers that were accepted
     RowSet rows;
-    std::vector<RowSet> fetched;
+    std::vector<RowSet> fetchedSets;
     PeerService service;
     std::uint16_t port;
 };
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(heartbeatsGoBothWays)
+BOOST_AUTO_TEST_CASE(exchangeDeliversHeartbeatsBothWays)
 {
     Loop loop;
     KjLoop kjLoop(loop.base());
     Node a(loop, "a");
     Node b(loop, "b");
-    a.service.setPeers({ b.listed() });
+    a.service.setPeers({ b.asListedVm() });
     a.service.tick();
-    BOOST_REQUIRE(loop.runUntil([&] { return a.heard == 1 && b.heard == 1; }, 5s));
+    BOOST_REQUIRE(loop.runUntil([&] { return a.heartbeatCount == 1 && b.heartbeatCount == 1; }, 5s));
     BOOST_TEST(a.service.views().at("b").heartbeat.loads.at(0).queued == 4u);
 }
 
@@ -63,22 +63,22 @@
     KjLoop kjLoop(loop.base());
     Node a(loop, "a");
     Node b(loop, "b", "other");
-    a.service.setPeers({ b.listed() });
+    a.service.setPeers({ b.asListedVm() });
     a.service.tick();
     BOOST_REQUIRE(loop.runUntil([&] { return a.metrics.counter("damask_peer_failures_total") > 0; }, 5s));
-    BOOST_TEST(b.heard == 0);
+    BOOST_TEST(b.heartbeatCount == 0);
     BOOST_TEST(b.metrics.counter("damask_peer_refused_total") == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(recordsReachNodesThatNeverMet)
+BOOST_AUTO_TEST_CASE(heartbeatsAreRelayedBetweenUnconnectedNodes)
 {
     Loop loop;
     KjLoop kjLoop(loop.base());
     Node a(loop, "a");
     Node b(loop, "b");
     Node c(loop, "c");
-    a.service.setPeers({ b.listed() });
-    c.service.setPeers({ b.listed() });
+    a.service.setPeers({ b.asListedVm() });
+    c.service.setPeers({ b.asListedVm() });
     Timer ticks(loop.base(), [&] {
         a.service.tick();
         c.service.tick();
@@ -88,7 +88,7 @@
         [&] { return a.service.views().contains("c") && c.service.views().contains("a"); }, 5s));
 }
 
-BOOST_AUTO_TEST_CASE(rowsComeInChunksAndWhole)
+BOOST_AUTO_TEST_CASE(fetchDeliversAllRowsInChunks)
 {
     Loop loop;
     KjLoop kjLoop(loop.base());
@@ -99,12 +99,12 @@
             { "f/" + std::to_string(version), version, std::string(1000, 'x'), version % 7 == 0 });
     b.rows.version = 500;
     b.self.tableVersion = 500;
-    a.service.setPeers({ b.listed() });
+    a.service.setPeers({ b.asListedVm() });
     a.service.tick();
-    BOOST_REQUIRE(loop.runUntil([&] { return a.heard == 1; }, 5s));
+    BOOST_REQUIRE(loop.runUntil([&] { return a.heartbeatCount == 1; }, 5s));
     a.service.fetch(0);
-    BOOST_REQUIRE(loop.runUntil([&] { return !a.fetched.empty(); }, 5s));
-    const auto& set = a.fetched.front();
+    BOOST_REQUIRE(loop.runUntil([&] { return !a.fetchedSets.empty(); }, 5s));
+    const auto& set = a.fetchedSets.front();
     BOOST_TEST(set.version == 500u);
     BOOST_REQUIRE(set.rows.size() == 500u);
     for (std::size_t i = 0; i < set.rows.size(); ++i) {
@@ -120,10 +120,10 @@
     Node a(loop, "a");
     Node b(loop, "b");
     a.self.protocol = peerProtocolVersion + 1;
-    a.service.setPeers({ b.listed() });
+    a.service.setPeers({ b.asListedVm() });
     a.service.tick();
     BOOST_REQUIRE(loop.runUntil([&] { return b.metrics.counter("damask_peer_refused_total") > 0; }, 5s));
-    BOOST_TEST(b.heard == 0);
+    BOOST_TEST(b.heartbeatCount == 0);
 }
 
 BOOST_AUTO_TEST_CASE(garbageOnThePeerPortIsRefusedAndCounted)
@@ -143,17 +143,17 @@
                            .then([&] { stream->shutdownWrite(); })
                            .eagerlyEvaluate([](kj::Exception&&) {});
         BOOST_TEST(loop.runUntil([&] { return b.metrics.counter("damask_peer_refused_total") > 0; }, 5s));
-        BOOST_TEST(b.heard == 0);
+        BOOST_TEST(b.heartbeatCount == 0);
     }
 }
 
-BOOST_AUTO_TEST_CASE(endlessMessageIsCutOffWithBoundedBytes)
+BOOST_AUTO_TEST_CASE(oversizedMessageIsRejectedAfterBoundedBytes)
 {
     Loop loop;
     KjLoop kjLoop(loop.base());
     Node b(loop, "b");
     auto stream = rpc::connect(loop.base(), { "127.0.0.1", b.port });
-    // One segment of 2^28 words is announced; its bytes follow without end.
+    // The header announces one segment of 2^28 words, far above the message limit. 64 MiB of data follow.
     std::string bytes("\x00\x00\x00\x00\x00\x00\x00\x10", 8);
     bytes.resize(64 << 20, 'x');
     auto writing = stream->write(bytes.data(), bytes.size()).eagerlyEvaluate([](kj::Exception&&) {});
@@ -161,7 +161,7 @@
     BOOST_TEST(b.metrics.counter("damask_peer_bytes_total{direction=\"received\"}") < 2u << 20);
 }
 
-BOOST_AUTO_TEST_CASE(silentConnectionEndsAfterTheCallTimeout)
+BOOST_AUTO_TEST_CASE(connectionWithoutCallsClosesAfterTheCallTimeout)
 {
     Loop loop;
     KjLoop kjLoop(loop.base());
@@ -183,12 +183,12 @@
     BOOST_TEST(b.metrics.counter("damask_peer_refused_total") == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(connectionsFromPeersAreBounded)
+BOOST_AUTO_TEST_CASE(acceptedConnectionsAreLimited)
 {
     Loop loop;
     KjLoop kjLoop(loop.base());
     PeerLimits limits;
-    limits.accepted = 4;
+    limits.acceptedConnections = 4;
     Node b(loop, "b", "c", limits);
     std::vector<kj::Own<kj::AsyncIoStream>> streams;
     for (int i = 0; i < 6; ++i)
