--- a/src/bench_control/main.cpp
+++ b/src/bench_control/main.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Prints the cost of control traffic: `bench_control [spread|steady|return]`.
+/// Prints measurements of the control traffic. Usage: `bench_control [spread|steady|return]`.
 #include "bench_pvt.h"
 
 #include <damaskworks/log.h>
@@ -9,15 +9,15 @@
 int main(int argc, char** argv)
 {
     using namespace damask;
-    const std::string_view only = argc > 1 ? argv[1] : "";
+    const std::string_view selected = argc > 1 ? argv[1] : "";
     initializeLogging(LogLevel::Error, "bench");
-    if (only.empty() || only == "return") {
+    if (selected.empty() || selected == "return") {
         for (const int nodes : { 8, 24, 72 })
-            bench::measureReturn(nodes);
+            bench::measureTableRecovery(nodes);
     }
-    if (only.empty() || only == "steady")
+    if (selected.empty() || selected == "steady")
         bench::measureSteady(72, 5);
-    if (only.empty() || only == "spread") {
+    if (selected.empty() || selected == "spread") {
         for (const int nodes : { 8, 24, 72 })
             bench::measureSpread(nodes, 5);
         bench::measureSpread(72, 53);
--- a/src/bench_control/return_bench.cpp
+++ b/src/bench_control/return_bench.cpp
@@ -13,24 +13,25 @@
 
 using namespace std::chrono_literals;
 
-/// Times run ten times as fast as in the daemon.
-constexpr int scale = 10;
-constexpr std::chrono::milliseconds pollPeriod = 1000ms / scale;
-constexpr std::chrono::milliseconds settleBackoff = 200ms / scale;
-constexpr std::chrono::milliseconds secondScaled = 1000ms / scale;
-constexpr std::chrono::milliseconds calm = 5000ms / scale;
-constexpr std::chrono::milliseconds outage = 60'000ms / scale;
-constexpr std::chrono::milliseconds after = 30'000ms / scale;
-constexpr int lostPerNode = 4;
+/// All intervals are this many times shorter than in the daemon.
+constexpr int timeScale = 10;
+constexpr std::chrono::milliseconds pollPeriod = 1000ms / timeScale;
+constexpr std::chrono::milliseconds settleBackoff = 200ms / timeScale;
+constexpr std::chrono::milliseconds scaledSecond = 1000ms / timeScale;
+constexpr std::chrono::milliseconds calmPeriod = 5000ms / timeScale;
+constexpr std::chrono::milliseconds outagePeriod = 60'000ms / timeScale;
+constexpr std::chrono::milliseconds recoveryTimeout = 30'000ms / timeScale;
+constexpr int lostAnswersPerNode = 4;
 
-/// Most events within one (scaled) second.
-class PeakRate {
+/// Measures the highest number of events within one scaled second.
+class PeakRateMeter {
 public:
+    /// Takes the number of all events so far.
     void count(std::uint64_t total)
     {
         const auto now = std::chrono::steady_clock::now();
         m_samples.push_back({ now, total });
-        while (m_samples.size() > 1 && now - m_samples.front().first > secondScaled)
+        while (m_samples.size() > 1 && now - m_samples.front().first > scaledSecond)
             m_samples.pop_front();
         m_peak = std::max(m_peak, total - m_samples.front().second);
     }
@@ -63,65 +64,66 @@
 
 } // namespace
 
-void measureReturn(int count)
+void measureTableRecovery(int nodeCount)
 {
     Loop loop;
     standin::FakePlatform platform;
-    auto fate = standin::Fate::Answer;
-    PeakRate reads;
-    PeakRate writes;
-    Timer answers(loop.base(), [&] {
-        for (auto left = platform.waiting(); left > 0; --left)
-            platform.decide(fate);
+    auto injectedOutcome = standin::Fate::Answer;
+    PeakRateMeter reads;
+    PeakRateMeter writes;
+    Timer answerTimer(loop.base(), [&] {
+        for (auto remaining = platform.waiting(); remaining > 0; --remaining)
+            platform.decide(injectedOutcome);
         reads.count(platform.reads);
         writes.count(platform.writes);
     });
-    answers.startPeriodic(1ms);
-    auto pass = [&](std::chrono::milliseconds time) { loop.runUntil([] { return false; }, time); };
+    answerTimer.startPeriodic(1ms);
+    auto runFor = [&](std::chrono::milliseconds time) { loop.runUntil([] { return false; }, time); };
     std::vector<std::unique_ptr<Node>> nodes;
-    for (int i = 0; i < count; ++i)
+    for (int i = 0; i < nodeCount; ++i)
         nodes.push_back(std::make_unique<Node>(loop, platform, i));
-    std::uint64_t answered = 0;
-    auto commitAll = [&](int each) {
+    std::uint64_t answerCount = 0;
+    auto commitOnEachNode = [&](int commitsPerNode) {
         for (auto& node : nodes) {
-            for (int i = 0; i < each; ++i)
-                node->store.commit({ {}, { { "f/x", "{}" } } }, [&](const auto&) { ++answered; });
+            for (int i = 0; i < commitsPerNode; ++i)
+                node->store.commit({ {}, { { "f/x", "{}" } } }, [&](const auto&) { ++answerCount; });
         }
     };
-    commitAll(1);
-    pass(calm);
-    const auto calmReads = reads.peak();
-    fate = standin::Fate::LoseAfter;
-    commitAll(lostPerNode);
-    pass(2ms);
-    fate = standin::Fate::Refuse;
+    commitOnEachNode(1);
+    runFor(calmPeriod);
+    const auto peakCalmReads = reads.peak();
+    injectedOutcome = standin::Fate::LoseAfter;
+    commitOnEachNode(lostAnswersPerNode);
+    runFor(2ms);
+    injectedOutcome = standin::Fate::Refuse;
     reads.reset();
     writes.reset();
     writes.count(platform.writes);
-    pass(outage);
-    const auto downReads = reads.peak();
-    const auto downWrites = writes.peak();
+    runFor(outagePeriod);
+    const auto peakOutageReads = reads.peak();
+    const auto peakOutageWrites = writes.peak();
     reads.reset();
     writes.reset();
-    const auto returned = std::chrono::steady_clock::now();
-    fate = standin::Fate::Answer;
+    const auto recoveryStart = std::chrono::steady_clock::now();
+    injectedOutcome = standin::Fate::Answer;
     writes.count(platform.writes);
-    commitAll(1);
+    commitOnEachNode(1);
     loop.runUntil(
         [&] {
             return std::all_of(nodes.begin(), nodes.end(),
-                [&](const auto& node) { return node->mirror.lastContact() > returned; });
+                [&](const auto& node) { return node->mirror.lastContact() > recoveryStart; });
         },
-        after);
-    const std::chrono::duration<double> took = std::chrono::steady_clock::now() - returned;
-    pass(calm);
+        recoveryTimeout);
+    const std::chrono::duration<double> recoveryTime = std::chrono::steady_clock::now() - recoveryStart;
+    runFor(calmPeriod);
     std::printf("return nodes=%d reads_per_s calm=%llu down=%llu back=%llu writes_per_s down=%llu back=%llu "
                 "(one commit a node at the return) all_read_again_s=%.1f commits=%llu answered=%llu\n",
-        count, static_cast<unsigned long long>(calmReads), static_cast<unsigned long long>(downReads),
-        static_cast<unsigned long long>(reads.peak()), static_cast<unsigned long long>(downWrites),
-        static_cast<unsigned long long>(writes.peak()), took.count() * scale,
-        static_cast<unsigned long long>(count) * (2 + lostPerNode),
-        static_cast<unsigned long long>(answered));
+        nodeCount, static_cast<unsigned long long>(peakCalmReads),
+        static_cast<unsigned long long>(peakOutageReads), static_cast<unsigned long long>(reads.peak()),
+        static_cast<unsigned long long>(peakOutageWrites), static_cast<unsigned long long>(writes.peak()),
+        recoveryTime.count() * timeScale,
+        static_cast<unsigned long long>(nodeCount) * (2 + lostAnswersPerNode),
+        static_cast<unsigned long long>(answerCount));
     std::fflush(stdout);
 }
 
--- a/src/bench_control/spread_bench.cpp
+++ b/src/bench_control/spread_bench.cpp
@@ -14,39 +14,42 @@
 
 using namespace std::chrono_literals;
 
-/// How nodes learn of a change.
-enum class Way {
-    Poll, ///< of the table each second
-    PollAndHints, ///< the same, and at once when a peer has a newer spec
-    RarePollAndHints, ///< the same with a poll each five seconds
-    PeerRows, ///< the table each five seconds; rows from the peer that has newer ones
+/// How nodes learn of a table change.
+enum class PropagationMode {
+    Poll, ///< polls the table every second
+    PollAndHints, ///< also polls at once when the heartbeat of a peer shows a newer spec
+    RarePollAndHints, ///< as PollAndHints, but polls every five seconds
+    PeerRows, ///< polls every five seconds, and fetches newer rows from a peer
 };
 
-inline constexpr NameTable<Way, 4> wayNames { {
-    { Way::Poll, "poll 1 s" },
-    { Way::PollAndHints, "poll 1 s + hints" },
-    { Way::RarePollAndHints, "poll 5 s + hints" },
-    { Way::PeerRows, "poll 5 s + peer rows" },
+inline constexpr NameTable<PropagationMode, 4> propagationModeNames { {
+    { PropagationMode::Poll, "poll 1 s" },
+    { PropagationMode::PollAndHints, "poll 1 s + hints" },
+    { PropagationMode::RarePollAndHints, "poll 5 s + hints" },
+    { PropagationMode::PeerRows, "poll 5 s + peer rows" },
 } };
 
-/// Bytes of one poll besides its rows: the request and the answer of the HTTP adapter.
+/// Bytes of one poll apart from its rows: request and answer of the HTTP adapter.
 constexpr std::uint64_t pollBytes = 310;
 constexpr std::chrono::milliseconds tickPeriod { 1000 };
 constexpr std::chrono::milliseconds shortWarmUp { 6000 };
 constexpr std::chrono::milliseconds longWarmUp { 60'000 };
 constexpr std::chrono::milliseconds changeInterval { 3000 };
-constexpr int changes = 4;
-constexpr int rowsOfSpecs = 100;
+constexpr int changeCount = 4;
+constexpr int specRowCount = 100;
 
 class Node {
 public:
-    Node(Loop& loop, Platform& platform, int number, int pools, Way way)
-        : m_way(way)
+    Node(Loop& loop, Platform& platform, int number, int pools, PropagationMode mode)
+        : m_mode(mode)
         , m_mirror(loop.base(), platform, m_clock, metrics,
-              { "f/", way == Way::Poll || way == Way::PollAndHints ? 1000ms : 5000ms, "c", "" },
+              { "f/",
+                  mode == PropagationMode::Poll || mode == PropagationMode::PollAndHints ? 1000ms : 5000ms,
+                  "c", "" },
               static_cast<std::uint64_t>(number) + 1)
         , peers(loop.base(), m_clock, metrics,
-              { [this] { return heartbeat(); }, [this](const Heartbeat& heard) { onPeer(heard); },
+              { [this] { return heartbeat(); },
+                  [this](const Heartbeat& peerHeartbeat) { onPeerHeartbeat(peerHeartbeat); },
                   [this](TableVersion since) { return m_mirror.rowsSince(since); },
                   [this](const RowSet& set) { m_mirror.take(set); } },
               static_cast<std::uint64_t>(number) + 1000)
@@ -61,17 +64,17 @@
         for (int i = 0; i < pools; ++i)
             m_self.loads.push_back({ "pool-" + std::to_string(i), 7, 3, 21.5F });
         m_mirror.addListener([this](const Row&) {
-            if (m_way != Way::Poll)
+            if (m_mode != PropagationMode::Poll)
                 m_hint.startOnce(0us);
         });
         m_mirror.start();
     }
-    void start(const std::vector<ListedVm>& all)
+    void start(const std::vector<ListedVm>& listedVms)
     {
-        peers.setPeers(all);
+        peers.setPeers(listedVms);
         m_tick.startPeriodic(tickPeriod);
     }
-    ListedVm listed() const
+    ListedVm asListedVm() const
     {
         ListedVm vm;
         vm.id = m_self.node;
@@ -91,17 +94,17 @@
         m_self.specVersion = m_mirror.version();
         return m_self;
     }
-    void onPeer(const Heartbeat& heard)
+    void onPeerHeartbeat(const Heartbeat& peerHeartbeat)
     {
-        if (m_way == Way::Poll || heard.specVersion <= m_mirror.version())
+        if (m_mode == PropagationMode::Poll || peerHeartbeat.specVersion <= m_mirror.version())
             return;
-        if (m_way == Way::PeerRows)
+        if (m_mode == PropagationMode::PeerRows)
             peers.fetch(m_mirror.version());
         else
             m_mirror.pollNow();
     }
 
-    Way m_way;
+    PropagationMode m_mode;
     SystemClock m_clock;
     Heartbeat m_self;
     Mirror m_mirror;
@@ -117,10 +120,10 @@
 struct Result {
     double peerBytes = 0; ///< sent and received, per node and second
     double platformBytes = 0; ///< per node and second
-    double readsPerSecond = 0; ///< of all nodes
-    double knownMembers = 0; ///< live, mean over the nodes
-    double oldestRecord = 0; ///< seconds, oldest that any node had of another, sampled at the changes
-    std::vector<double> seconds; ///< until each change is known everywhere
+    double readsPerSecond = 0; ///< table reads of all nodes
+    double liveMembers = 0; ///< live members known to a node, mean over the nodes
+    double oldestRecordSeconds = 0; ///< greatest age of a known heartbeat, sampled after each change
+    std::vector<double> propagationSeconds; ///< for each change, until every node knows it; sorted
 };
 
 std::uint64_t peerBytes(const std::vector<std::unique_ptr<Node>>& nodes)
@@ -133,7 +136,7 @@
     return sum;
 }
 
-double oldestRecord(const std::vector<std::unique_ptr<Node>>& nodes)
+double oldestRecordAge(const std::vector<std::unique_ptr<Node>>& nodes)
 {
     const auto now = std::chrono::steady_clock::now();
     std::chrono::duration<double> oldest { 0 };
@@ -144,83 +147,83 @@
     return oldest.count();
 }
 
-void change(standin::FakePlatform& platform, int number)
+void commitChange(standin::FakePlatform& platform, int number)
 {
-    const auto key = "f/r/pool/" + std::to_string(number % rowsOfSpecs);
+    const auto key = "f/r/pool/" + std::to_string(number % specRowCount);
     (void)platform.table.commit({ {}, { { key, std::string(300, 'x') } } });
 }
 
-Result run(int count, int pools, Way way, std::chrono::milliseconds warmUp)
+Result measure(int nodeCount, int pools, PropagationMode mode, std::chrono::milliseconds warmUp)
 {
     Loop loop;
     KjLoop kjLoop(loop.base());
     standin::FakePlatform platform;
-    for (int i = 0; i < rowsOfSpecs; ++i)
-        change(platform, i);
-    Timer answers(loop.base(), [&] {
+    for (int i = 0; i < specRowCount; ++i)
+        commitChange(platform, i);
+    Timer answerTimer(loop.base(), [&] {
         while (platform.waiting() > 0)
             platform.decide(standin::Fate::Answer);
     });
-    answers.startPeriodic(1ms);
+    answerTimer.startPeriodic(1ms);
     std::vector<std::unique_ptr<Node>> nodes;
-    std::vector<ListedVm> all;
-    for (int i = 0; i < count; ++i) {
-        nodes.push_back(std::make_unique<Node>(loop, platform, i, pools, way));
-        all.push_back(nodes.back()->listed());
+    std::vector<ListedVm> listedVms;
+    for (int i = 0; i < nodeCount; ++i) {
+        nodes.push_back(std::make_unique<Node>(loop, platform, i, pools, mode));
+        listedVms.push_back(nodes.back()->asListedVm());
     }
     for (auto& node : nodes) {
-        node->start(all);
-        // Daemons start at different moments.
-        loop.runUntil([] { return false; }, tickPeriod / count);
+        node->start(listedVms);
+        // Staggered, since daemons don't start at the same time.
+        loop.runUntil([] { return false; }, tickPeriod / nodeCount);
     }
     loop.runUntil([] { return false; }, warmUp);
     Result result;
     const auto bytesBefore = peerBytes(nodes);
     const auto readsBefore = platform.reads;
     const auto start = std::chrono::steady_clock::now();
-    for (int i = 0; i < changes; ++i) {
-        change(platform, i);
+    for (int i = 0; i < changeCount; ++i) {
+        commitChange(platform, i);
         const auto changed = std::chrono::steady_clock::now();
-        nodes[static_cast<std::size_t>(i % count)]->pollNow();
+        nodes[static_cast<std::size_t>(i % nodeCount)]->pollNow();
         auto everywhere = [&] {
             return std::all_of(nodes.begin(), nodes.end(),
                 [&](const auto& node) { return node->version() >= platform.table.version(); });
         };
         loop.runUntil(everywhere, 30s);
         const auto now = std::chrono::steady_clock::now();
-        result.oldestRecord = std::max(result.oldestRecord, oldestRecord(nodes));
-        result.seconds.push_back(std::chrono::duration<double>(now - changed).count());
+        result.oldestRecordSeconds = std::max(result.oldestRecordSeconds, oldestRecordAge(nodes));
+        result.propagationSeconds.push_back(std::chrono::duration<double>(now - changed).count());
         loop.runUntil([] { return false; },
             std::max(
                 0ms, changeInterval - std::chrono::duration_cast<std::chrono::milliseconds>(now - changed)));
     }
-    const std::chrono::duration<double> took = std::chrono::steady_clock::now() - start;
-    const auto perNode = took.count() * count;
-    result.peerBytes = static_cast<double>(peerBytes(nodes) - bytesBefore) / perNode;
+    const std::chrono::duration<double> elapsed = std::chrono::steady_clock::now() - start;
+    const auto nodeSeconds = elapsed.count() * nodeCount;
+    result.peerBytes = static_cast<double>(peerBytes(nodes) - bytesBefore) / nodeSeconds;
     const auto reads = static_cast<double>(platform.reads - readsBefore);
-    result.readsPerSecond = reads / took.count();
-    result.platformBytes = reads * pollBytes / perNode;
+    result.readsPerSecond = reads / elapsed.count();
+    result.platformBytes = reads * pollBytes / nodeSeconds;
     for (const auto& node : nodes) {
         const auto& known = node->peers.membership();
         for (const auto& [name, view] : known.members) {
             const bool isLive
                 = membership::phase(known, view, std::chrono::steady_clock::now()) == membership::Phase::Live;
-            result.knownMembers += isLive ? 1.0 / count : 0.0;
+            result.liveMembers += isLive ? 1.0 / nodeCount : 0.0;
         }
     }
-    std::sort(result.seconds.begin(), result.seconds.end());
+    std::sort(result.propagationSeconds.begin(), result.propagationSeconds.end());
     return result;
 }
 
-void print(int nodes, int pools, std::string_view name, const Result& result)
+void printResult(int nodes, int pools, std::string_view name, const Result& result)
 {
     std::printf("spread nodes=%d pools=%d way=\"%s\" peer_bytes_per_node_s=%.0f "
                 "platform_bytes_per_node_s=%.0f (estimated) table_reads_per_s=%.1f live_members=%.1f "
                 "oldest_record_s=%.1f "
                 "known_everywhere_s median=%.3f max=%.3f\n",
         nodes, pools, std::string(name).c_str(), result.peerBytes, result.platformBytes,
-        result.readsPerSecond, result.knownMembers, result.oldestRecord,
-        result.seconds[result.seconds.size() / 2], result.seconds.back());
+        result.readsPerSecond, result.liveMembers, result.oldestRecordSeconds,
+        result.propagationSeconds[result.propagationSeconds.size() / 2], result.propagationSeconds.back());
     std::fflush(stdout);
 }
 
@@ -228,13 +231,14 @@
 
 void measureSpread(int nodes, int pools)
 {
-    for (const auto& [way, name] : wayNames)
-        print(nodes, pools, name, run(nodes, pools, way, shortWarmUp));
+    for (const auto& [mode, name] : propagationModeNames)
+        printResult(nodes, pools, name, measure(nodes, pools, mode, shortWarmUp));
 }
 
 void measureSteady(int nodes, int pools)
 {
-    print(nodes, pools, "poll 1 s + hints, after 60 s", run(nodes, pools, Way::PollAndHints, longWarmUp));
+    printResult(nodes, pools, "poll 1 s + hints, after 60 s",
+        measure(nodes, pools, PropagationMode::PollAndHints, longWarmUp));
 }
 
 } // namespace damask::bench
--- a/src/bench_path/bare_server.cpp
+++ b/src/bench_path/bare_server.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// A libevhtp server that answers every request with the same body: the baseline that the daemon's
-/// request path is measured against. Prints its port.
+/// A libevhtp server that answers every request with the same body. It is the baseline for the
+/// measurements of the daemon's request path. Prints its port.
 #include <arpa/inet.h>
 #include <cstdio>
 #include <event2/event.h>
--- a/src/bench_path/bench_path.cpp
+++ b/src/bench_path/bench_path.cpp
@@ -1,6 +1,6 @@
 /// \file
-/// Throughput and added latency of the request path on one node, against a bare libevhtp server in
-/// the same run.
+/// Measures throughput and latency of the request path on one node, compared with a bare libevhtp server
+/// in the same run.
 #include "../../testsuite/harness/fleet.h"
 
 #include <cmath>
@@ -21,16 +21,16 @@
 constexpr double targetRatio = 0.4;
 constexpr double targetMemoryMb = 256;
 
-struct Measured {
+struct Measurement {
     double perSecond = 0;
-    double cpuMicroseconds = 0; ///< processor time of the server for each request
-    double p50 = 0;
-    double p99 = 0;
-    std::string failed;
+    double cpuMicrosPerRequest = 0; ///< processor time of the server
+    double p50 = 0; ///< latency, microseconds
+    double p99 = 0; ///< latency, microseconds
+    std::string failed; ///< connections that ended or failed
 };
 
 /// Processor time used by a process, in seconds.
-double processorSeconds(pid_t pid)
+double cpuSeconds(pid_t pid)
 {
     std::ifstream stat("/proc/" + std::to_string(pid) + "/stat");
     std::string word;
@@ -42,21 +42,21 @@
     return ticks / static_cast<double>(sysconf(_SC_CLK_TCK));
 }
 
-Measured measure(const Address& address, pid_t server, const std::string& path)
+Measurement measure(const Address& address, pid_t server, const std::string& path)
 {
-    const double before = processorSeconds(server);
+    const double before = cpuSeconds(server);
     const auto result = runCommand({ binary("bench_load"), http::toString(address), path,
         std::to_string(connections), std::to_string(roundMilliseconds) });
-    const double used = processorSeconds(server) - before;
-    const auto number
+    const double used = cpuSeconds(server) - before;
+    const auto numberField
         = [&](const std::string& key) { return std::atof(Process::field(result.output, key).c_str()); };
-    const double perSecond = number("ok_per_s");
+    const double perSecond = numberField("ok_per_s");
     const double answers = perSecond * roundMilliseconds / 1000;
-    return { perSecond, 1e6 * used / answers, number("p50_us"), number("p99_us"),
+    return { perSecond, 1e6 * used / answers, numberField("p50_us"), numberField("p99_us"),
         Process::field(result.output, "failed") };
 }
 
-double residentMb(pid_t pid)
+double peakResidentMb(pid_t pid)
 {
     std::ifstream status("/proc/" + std::to_string(pid) + "/status");
     for (std::string line; std::getline(status, line);) {
@@ -99,18 +99,18 @@
                  "damaskd p50 us | "
                  "damaskd p99 us | failed |\n|---|---|---|---|---|---|---|---|---|---|\n";
     for (int round = 1; round <= rounds; ++round) {
-        const auto bare = measure(addresses[0], servers[0]->pid(), "/quote");
-        const auto path = measure(daemon.callers, daemon.process->pid(), "/quote");
-        ratios.push_back(path.perSecond / bare.perSecond);
-        std::cout << "| " << round << " | " << bare.perSecond << " | " << path.perSecond << " | "
-                  << ratios.back() << " | " << bare.cpuMicroseconds << " | " << path.cpuMicroseconds << " | "
-                  << bare.p50 << " | " << path.p50 << " | " << path.p99 << " | " << path.failed << " |"
-                  << std::endl;
+        const auto bareServer = measure(addresses[0], servers[0]->pid(), "/quote");
+        const auto requestPath = measure(daemon.callers, daemon.process->pid(), "/quote");
+        ratios.push_back(requestPath.perSecond / bareServer.perSecond);
+        std::cout << "| " << round << " | " << bareServer.perSecond << " | " << requestPath.perSecond << " | "
+                  << ratios.back() << " | " << bareServer.cpuMicrosPerRequest << " | "
+                  << requestPath.cpuMicrosPerRequest << " | " << bareServer.p50 << " | " << requestPath.p50
+                  << " | " << requestPath.p99 << " | " << requestPath.failed << " |" << std::endl;
     }
     std::sort(ratios.begin(), ratios.end());
     const double median = ratios[ratios.size() / 2];
-    const double memory = residentMb(daemon.process->pid());
-    std::cout << "\nmedian ratio " << median << " (target " << targetRatio << "), peak memory " << memory
+    const double memoryMb = peakResidentMb(daemon.process->pid());
+    std::cout << "\nmedian ratio " << median << " (target " << targetRatio << "), peak memory " << memoryMb
               << " MB (target below " << targetMemoryMb << ")\n";
-    return median >= targetRatio && memory < targetMemoryMb ? 0 : 1;
+    return median >= targetRatio && memoryMb < targetMemoryMb ? 0 : 1;
 }
--- a/src/bench_placement/bench_placement.cpp
+++ b/src/bench_placement/bench_placement.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Cost of placement passes over workers and queued jobs: a full pass, and a pass after one change.
+/// Cost of placement passes over workers and queued jobs: a full pass, and a pass after the end of one job.
 #include <benchmark/benchmark.h>
 
 #include <damaskworks/placement.h>
@@ -9,24 +9,26 @@
 
 namespace {
 
+/// The fleet size that the design must support.
 constexpr std::int64_t workersAtTarget = 990;
 constexpr std::int64_t acceleratorsAtTarget = 1500;
 constexpr std::int64_t jobsAtTarget = 5000;
 constexpr std::int64_t teamsAtTarget = 230;
 
-/// A fleet of \p workers workers over \p pools pools; jobs, accelerators and teams in proportion.
-State fleet(std::int64_t workers, std::int64_t pools)
+/// Makes a fleet of \p workers workers in \p pools pools, with jobs and accelerators in proportion and a
+/// fixed number of teams.
+State makeFleet(std::int64_t workers, std::int64_t pools)
 {
     State state;
     std::int64_t accelerators = acceleratorsAtTarget * workers / workersAtTarget;
     for (std::int64_t i = 0; i < workers; ++i) {
-        const std::int64_t here
+        const std::int64_t workerAccelerators
             = accelerators > 0 && i % 2 == 0 ? std::min<std::int64_t>(4, accelerators) : 0;
-        accelerators -= here;
+        accelerators -= workerAccelerators;
         Worker worker;
         worker.pool = "pool-" + std::to_string(i % pools);
         worker.rack = "rack-" + std::to_string(i / 4);
-        worker.capacity = { 32, 131'072, double(here) };
+        worker.capacity = { 32, 131'072, double(workerAccelerators) };
         setWorker(state, "vm-" + std::to_string(i), worker);
     }
     for (std::int64_t i = 0; i < jobsAtTarget * workers / workersAtTarget; ++i) {
@@ -46,7 +48,7 @@
 
 void fullPass(benchmark::State& run)
 {
-    const auto initial = fleet(run.range(0), run.range(1));
+    const auto initial = makeFleet(run.range(0), run.range(1));
     for (auto _ : run) {
         run.PauseTiming();
         auto state = initial;
@@ -56,10 +58,10 @@
     }
 }
 
-/// One job ends and the pass looks again.
+/// Ends one job and runs the next pass.
 void passAfterOneChange(benchmark::State& run)
 {
-    auto state = fleet(run.range(0), run.range(1));
+    auto state = makeFleet(run.range(0), run.range(1));
     const TimePoint now(std::chrono::hours(1));
     pass(state, 1, now);
     auto job = state.jobs.begin();
--- a/src/bench_policy/main.cpp
+++ b/src/bench_policy/main.cpp
@@ -1,5 +1,6 @@
 /// \file
-/// Prints, for both firms, what each move policy costs at an equal share of refused requests.
+/// Prints the cost of each move policy for both organisations, at the same limit for refused requests.
+/// With --sensitivity, prints how the cost of the buffered policy depends on the assumptions instead.
 #include "simulation.h"
 
 #include <cstdio>
@@ -11,7 +12,8 @@
 constexpr double refusedLimit = 0.001;
 constexpr std::uint32_t maxFleet = 150;
 
-void printRow(const char* policy, const std::optional<Sized>& sized, double staticIdle, const Shape& shape)
+void printRow(
+    const char* policy, const std::optional<SizedFleet>& sized, double staticIdle, const Scenario& scenario)
 {
     if (!sized) {
         std::printf("| %s | none up to %u | - | - | - | - |\n", policy, maxFleet);
@@ -19,68 +21,74 @@
     }
     const auto& result = sized->result;
     std::printf("| %s | %u | %.0f | %.2f | %.4f%% | %.1f |\n", policy, sized->fleet,
-        result.idleVmSeconds / shape.days, result.idleVmSeconds / staticIdle, 100 * result.refusedShare,
-        result.moves / shape.days);
+        result.idleVmSeconds / scenario.days, result.idleVmSeconds / staticIdle, 100 * result.refusedShare,
+        result.moves / scenario.days);
 }
 
-std::optional<Sized> sized(const Firm& firm, const Shape& shape, const FleetRun& run)
+std::optional<SizedFleet> smallestFleetFor(
+    const Organisation& organisation, const Scenario& scenario, const RunFunction& run)
 {
-    return smallestFleet(fleetForMean(firm, shape), maxFleet, refusedLimit, run);
+    return smallestFleet(fleetForMean(organisation, scenario), maxFleet, refusedLimit, run);
 }
 
-std::optional<Sized> sizedPolicy(const Firm& firm, const Shape& shape, const char* policy)
+std::optional<SizedFleet> smallestFleetForPolicy(
+    const Organisation& organisation, const Scenario& scenario, const char* policy)
 {
-    return sized(firm, shape, [&](std::uint32_t fleet) { return runPolicy(firm, shape, fleet, policy); });
+    return smallestFleetFor(organisation, scenario,
+        [&](std::uint32_t fleet) { return runPolicy(organisation, scenario, fleet, policy); });
 }
 
-std::optional<Sized> sizedStatic(const Firm& firm, const Shape& shape)
+std::optional<SizedFleet> smallestStaticFleet(const Organisation& organisation, const Scenario& scenario)
 {
-    return sized(firm, shape, [&](std::uint32_t fleet) { return runStatic(firm, shape, fleet); });
+    return smallestFleetFor(organisation, scenario,
+        [&](std::uint32_t fleet) { return runStatic(organisation, scenario, fleet); });
 }
 
-void printFirm(const Firm& firm, const Shape& shape)
+void printOrganisation(const Organisation& organisation, const Scenario& scenario)
 {
-    const auto fixed = sizedStatic(firm, shape);
-    const auto buffered = sizedPolicy(firm, shape, "buffered");
+    const auto fixed = smallestStaticFleet(organisation, scenario);
+    const auto buffered = smallestFleetForPolicy(organisation, scenario, "buffered");
     const double idle = fixed ? fixed->result.idleVmSeconds : 1;
-    std::printf("\n%s\n\n", firm.name.c_str());
-    std::printf("| policy | smallest fleet | idle VM-seconds a day | of static | refused | moves a day |\n");
+    std::printf("\n%s\n\n", organisation.name.c_str());
+    std::printf(
+        "| policy | smallest fleet | idle VM-seconds a day | relative to static | refused | moves a day |\n");
     std::printf("|---|---|---|---|---|---|\n");
-    printRow("static", fixed, idle, shape);
-    printRow("reactive", sizedPolicy(firm, shape, "reactive"), idle, shape);
-    printRow("buffered", buffered, idle, shape);
-    const auto clairvoyant = sized(
-        firm, shape, [&](std::uint32_t fleet) { return runClairvoyant(firm, shape, fleet, refusedLimit); });
-    printRow("clairvoyant", clairvoyant, idle, shape);
-    const auto pooled
-        = sized(firm, shape, [&](std::uint32_t fleet) { return runPooled(firm, shape, fleet); });
-    printRow("bound: any VM serves any pool", pooled, idle, shape);
+    printRow("static", fixed, idle, scenario);
+    printRow("reactive", smallestFleetForPolicy(organisation, scenario, "reactive"), idle, scenario);
+    printRow("buffered", buffered, idle, scenario);
+    const auto clairvoyant = smallestFleetFor(organisation, scenario,
+        [&](std::uint32_t fleet) { return runClairvoyant(organisation, scenario, fleet, refusedLimit); });
+    printRow("clairvoyant", clairvoyant, idle, scenario);
+    const auto pooled = smallestFleetFor(organisation, scenario,
+        [&](std::uint32_t fleet) { return runPooled(organisation, scenario, fleet); });
+    printRow("bound: any VM serves any pool", pooled, idle, scenario);
     if (!buffered)
         return;
-    const auto least = runClairvoyant(firm, shape, buffered->fleet, refusedLimit);
-    if (!least)
+    const auto clairvoyantRun = runClairvoyant(organisation, scenario, buffered->fleet, refusedLimit);
+    if (!clairvoyantRun)
         return;
     std::printf("\nMoves a day with %u VMs: buffered %.1f, clairvoyant %.1f, ratio %.2f\n", buffered->fleet,
-        buffered->result.moves / shape.days, least->moves / shape.days,
-        double(buffered->result.moves) / least->moves);
+        buffered->result.moves / scenario.days, clairvoyantRun->moves / scenario.days,
+        double(buffered->result.moves) / clairvoyantRun->moves);
 }
 
-/// How the buffer cost against the static split follows from what was assumed.
-void printSensitivity(const Firm& firm)
+/// Prints the cost of the buffered policy relative to the static split for a range of assumptions.
+void printSensitivity(const Organisation& organisation)
 {
-    std::printf("\n%s: idle VM-seconds of buffered, of static, by what is assumed\n\n", firm.name.c_str());
-    std::printf("| drift amplitude | move time, s | static fleet | buffered fleet | of static |\n");
+    std::printf(
+        "\n%s: idle VM-seconds of buffered relative to static, by assumption\n\n", organisation.name.c_str());
+    std::printf("| drift amplitude | move time, s | static fleet | buffered fleet | relative to static |\n");
     std::printf("|---|---|---|---|---|\n");
     for (double amplitude : { 0.5, 0.8, 0.95 }) {
-        for (double seconds : { 5.0, 20.0, 120.0 }) {
-            Shape shape;
-            shape.driftAmplitude = amplitude;
-            shape.moveSeconds = seconds;
-            const auto fixed = sizedStatic(firm, shape);
-            const auto buffered = sizedPolicy(firm, shape, "buffered");
+        for (double moveSeconds : { 5.0, 20.0, 120.0 }) {
+            Scenario scenario;
+            scenario.driftAmplitude = amplitude;
+            scenario.moveSeconds = moveSeconds;
+            const auto fixed = smallestStaticFleet(organisation, scenario);
+            const auto buffered = smallestFleetForPolicy(organisation, scenario, "buffered");
             if (!fixed || !buffered)
                 continue;
-            std::printf("| %.2f | %.0f | %u | %u | %.2f |\n", amplitude, seconds, fixed->fleet,
+            std::printf("| %.2f | %.0f | %u | %u | %.2f |\n", amplitude, moveSeconds, fixed->fleet,
                 buffered->fleet, buffered->result.idleVmSeconds / fixed->result.idleVmSeconds);
         }
     }
@@ -90,11 +98,11 @@
 
 int main(int argc, char** argv)
 {
-    const bool sensitivity = argc > 1 && std::string_view(argv[1]) == "--sensitivity";
-    for (const auto& firm : { sugarcraft(), linBrothers() }) {
-        if (sensitivity)
-            printSensitivity(firm);
+    const bool showSensitivity = argc > 1 && std::string_view(argv[1]) == "--sensitivity";
+    for (const auto& organisation : { sugarcraft(), linBrothers() }) {
+        if (showSensitivity)
+            printSensitivity(organisation);
         else
-            printFirm(firm, Shape {});
+            printOrganisation(organisation, Scenario {});
     }
 }
--- a/src/bench_policy/policy_test.cpp
+++ b/src/bench_policy/policy_test.cpp
@@ -8,44 +8,45 @@
 namespace {
 
 constexpr double refusedLimit = 0.001;
-constexpr double maxMovesOfClairvoyant = 1.5;
+constexpr double maxMovesRelativeToClairvoyant = 1.5;
 constexpr std::uint32_t maxFleet = 60;
 
-Shape oneDay()
+Scenario oneDayScenario()
 {
-    Shape shape;
-    shape.days = 1;
-    return shape;
+    Scenario scenario;
+    scenario.days = 1;
+    return scenario;
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(bufferedMovesAtMostOneAndAHalfTimesWhatClairvoyantDoes)
+BOOST_AUTO_TEST_CASE(bufferedMovesAtMostOneAndAHalfTimesAsOftenAsClairvoyant)
 {
-    for (const auto& firm : { sugarcraft(), linBrothers() }) {
-        const Shape shape;
+    for (const auto& organisation : { sugarcraft(), linBrothers() }) {
+        const Scenario scenario;
         const auto buffered = smallestFleet(25, maxFleet, refusedLimit,
-            [&](std::uint32_t fleet) { return runPolicy(firm, shape, fleet, "buffered"); });
+            [&](std::uint32_t fleet) { return runPolicy(organisation, scenario, fleet, "buffered"); });
         BOOST_REQUIRE(buffered);
-        const auto least = runClairvoyant(firm, shape, buffered->fleet, refusedLimit);
-        BOOST_REQUIRE(least);
-        BOOST_TEST(buffered->result.moves <= maxMovesOfClairvoyant * least->moves,
-            firm.name << ": " << buffered->result.moves << " moves, clairvoyant " << least->moves);
+        const auto clairvoyantRun = runClairvoyant(organisation, scenario, buffered->fleet, refusedLimit);
+        BOOST_REQUIRE(clairvoyantRun);
+        BOOST_TEST(buffered->result.moves <= maxMovesRelativeToClairvoyant * clairvoyantRun->moves,
+            organisation.name << ": " << buffered->result.moves << " moves, clairvoyant "
+                              << clairvoyantRun->moves);
     }
 }
 
-BOOST_AUTO_TEST_CASE(peaksOfSecondsCauseNoMove)
+BOOST_AUTO_TEST_CASE(shortPeaksCauseNoMove)
 {
-    Shape shape = oneDay();
-    shape.driftAmplitude = 0;
-    for (const auto& firm : { sugarcraft(), linBrothers() })
-        BOOST_TEST(runPolicy(firm, shape, 45, "buffered").moves == 0u, firm.name);
+    Scenario scenario = oneDayScenario();
+    scenario.driftAmplitude = 0;
+    for (const auto& organisation : { sugarcraft(), linBrothers() })
+        BOOST_TEST(runPolicy(organisation, scenario, 45, "buffered").moves == 0u, organisation.name);
 }
 
 BOOST_AUTO_TEST_CASE(runsAreRepeatable)
 {
-    const auto first = runPolicy(sugarcraft(), oneDay(), 30, "buffered");
-    const auto second = runPolicy(sugarcraft(), oneDay(), 30, "buffered");
+    const auto first = runPolicy(sugarcraft(), oneDayScenario(), 30, "buffered");
+    const auto second = runPolicy(sugarcraft(), oneDayScenario(), 30, "buffered");
     BOOST_TEST(first.idleVmSeconds == second.idleVmSeconds);
     BOOST_TEST(first.moves == second.moves);
 }
--- a/src/bench_requests/bench_choose.cpp
+++ b/src/bench_requests/bench_choose.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// Cost of decisions on the request path against the size of the pool and of the queue.
+/// Cost of the decisions on the request path by size of the pool and of the queue.
 #include <benchmark/benchmark.h>
 
 #include <damaskworks/registry.h>
@@ -14,7 +14,7 @@
 constexpr std::uint32_t slotsPerEndpoint = 8;
 constexpr TimePoint start { 1h };
 
-State stateWith(std::int64_t endpoints, const std::string& balancer)
+State makeState(std::int64_t endpoints, const std::string& balancer)
 {
     PoolChanged change { "pricing", {}, {} };
     change.settings.balancer = balancer;
@@ -28,7 +28,7 @@
 
 void choose(benchmark::State& run, const std::string& balancer)
 {
-    auto state = stateWith(run.range(0), balancer);
+    auto state = makeState(run.range(0), balancer);
     auto& pool = state.pools.at("pricing");
     const Candidates candidates { pool.local, pool.cursor, 0.05, 10s, start, state.random };
     for (auto _ : run)
@@ -37,7 +37,7 @@
 
 void requestAndAnswer(benchmark::State& run)
 {
-    auto state = stateWith(run.range(0), "weighted");
+    auto state = makeState(run.range(0), "weighted");
     Arrived arrived { 0, "pricing", start + 1s, false, false, "caller" };
     for (auto _ : run) {
         ++arrived.id;
@@ -48,7 +48,7 @@
 
 void tick(benchmark::State& run)
 {
-    auto state = stateWith(1, "weighted");
+    auto state = makeState(1, "weighted");
     for (std::int64_t id = 1; id <= run.range(0); ++id)
         decide(state, Arrived { RequestId(id), "pricing", start + 1h, false, false, "caller" }, start);
     for (auto _ : run)
--- a/src/bench_requests/simulate.cpp
+++ b/src/bench_requests/simulate.cpp
@@ -24,28 +24,29 @@
 constexpr double urgentShare = 0.1;
 constexpr double idempotentShare = 0.5;
 constexpr int callerCount = 20;
-constexpr Duration timeLimit = 1s;
+constexpr Duration requestTimeout = 1s;
 const std::string poolName = "pricing";
 const std::string faultyEndpoint = "vm-3";
 
-/// Demand over its mean during one period of 20 s: 3 s at 5, 6 s at 1/20, else the rest.
-double demandFactor(Shape shape, double seconds)
+/// Returns the demand as a multiple of its mean. In each period of 20 s, Peaks has 3 s at 5, then 11 s at the
+/// level that makes the mean 1, then 6 s at 1/20.
+double demandFactor(DemandPattern pattern, double seconds)
 {
     constexpr double period = 20;
     constexpr double peakEnd = 3;
-    constexpr double lowBegin = 14;
+    constexpr double lowStart = 14;
     constexpr double peak = 5;
     constexpr double low = 0.05;
-    constexpr double rest = (period - peakEnd * peak - (period - lowBegin) * low) / (lowBegin - peakEnd);
-    if (shape == Shape::Steady)
+    constexpr double rest = (period - peakEnd * peak - (period - lowStart) * low) / (lowStart - peakEnd);
+    if (pattern == DemandPattern::Steady)
         return 1;
     const double phase = std::fmod(seconds, period);
     if (phase < peakEnd)
         return peak;
-    return phase < lowBegin ? rest : low;
+    return phase < lowStart ? rest : low;
 }
 
-/// The end of an attempt at the endpoint.
+/// A scheduled end of an attempt.
 struct AttemptEnd {
     TimePoint at;
     request::AttemptEnded event;
@@ -69,14 +70,14 @@
             change.settings.health.failuresToEject = 0;
         for (int index = 0; index < endpointCount; ++index)
             change.endpoints.push_back({ "vm-" + std::to_string(index), slotsPerEndpoint, 0, true });
-        give(change);
+        handleEvent(change);
     }
 
     Result run()
     {
         scheduleArrival();
         while (true) {
-            const auto end = m_ends.empty() ? TimePoint::max() : m_ends.top().at;
+            const auto end = m_attemptEnds.empty() ? TimePoint::max() : m_attemptEnds.top().at;
             const auto tick = request::nextDeadline(m_state);
             m_now = std::max(m_now, std::min({ m_nextArrival, end, tick }));
             if (m_now == TimePoint::max())
@@ -86,12 +87,12 @@
             else if (end <= m_now)
                 endAttempt();
             else
-                give(request::Tick {});
+                handleEvent(request::Tick {});
         }
     }
 
 private:
-    struct Open {
+    struct OpenRequest {
         TimePoint arrived;
         bool serverError = false;
     };
@@ -108,7 +109,7 @@
 
     void scheduleArrival()
     {
-        const auto rate = capacity() * m_scenario.load * demandFactor(m_scenario.shape, elapsed());
+        const auto rate = capacity() * m_scenario.load * demandFactor(m_scenario.pattern, elapsed());
         m_nextArrival = m_now + duration(exponential(1 / rate));
         if (m_nextArrival - m_start >= duration(runSeconds))
             m_nextArrival = TimePoint::max();
@@ -119,30 +120,30 @@
         request::Arrived event;
         event.id = ++m_result.offered;
         event.pool = poolName;
-        event.deadline = m_now + timeLimit;
+        event.deadline = m_now + requestTimeout;
         event.idempotent = uniform() < idempotentShare;
         event.urgent = uniform() < urgentShare;
         event.callerId = "caller-" + std::to_string(m_random() % callerCount);
-        m_open[event.id] = { m_now };
+        m_openRequests[event.id] = { m_now };
         scheduleArrival();
-        give(event);
+        handleEvent(event);
     }
 
     void endAttempt()
     {
-        const auto event = m_ends.top().event;
-        m_ends.pop();
-        m_open[event.id].serverError = event.serverError;
-        give(event);
+        const auto event = m_attemptEnds.top().event;
+        m_attemptEnds.pop();
+        m_openRequests[event.id].serverError = event.serverError;
+        handleEvent(event);
     }
 
-    void give(const request::Event& event)
+    void handleEvent(const request::Event& event)
     {
         for (const auto& action : request::decide(m_state, event, m_now))
-            std::visit([this](const auto& typed) { carryOut(typed); }, action);
+            std::visit([this](const auto& typed) { execute(typed); }, action);
     }
 
-    void carryOut(const request::Dispatch& action)
+    void execute(const request::Dispatch& action)
     {
         ++m_result.attempts;
         m_result.retries += action.attempt > 1;
@@ -161,25 +162,26 @@
             event.result = request::AttemptEnded::Result::Failed;
             seconds = std::chrono::duration<double>(action.timeout).count();
         }
-        m_ends.push({ m_now + duration(seconds), event });
+        m_attemptEnds.push({ m_now + duration(seconds), event });
     }
 
-    void carryOut(const request::Reply& action)
+    void execute(const request::Reply& action)
     {
-        const auto& open = m_open.at(action.id);
-        const bool inTime = m_now < open.arrived + timeLimit;
-        if (!inTime)
+        const auto& openRequest = m_openRequests.at(action.id);
+        const bool isInTime = m_now < openRequest.arrived + requestTimeout;
+        if (!isInTime)
             ++m_result.late;
         else if (action.outcome == request::Outcome::NotRun)
             ++m_result.refused;
-        else if (action.outcome == request::Outcome::Unknown || open.serverError)
+        else if (action.outcome == request::Outcome::Unknown || openRequest.serverError)
             ++m_result.failed;
         else
-            m_latencies.push_back(std::chrono::duration<double, std::milli>(m_now - open.arrived).count());
-        m_open.erase(action.id);
+            m_latencies.push_back(
+                std::chrono::duration<double, std::milli>(m_now - openRequest.arrived).count());
+        m_openRequests.erase(action.id);
     }
 
-    void carryOut(const request::Abandon&) { }
+    void execute(const request::Abandon&) { }
 
     Result finish()
     {
@@ -199,8 +201,8 @@
     TimePoint m_now = m_start;
     TimePoint m_nextArrival = TimePoint::max();
     request::State m_state;
-    std::priority_queue<AttemptEnd, std::vector<AttemptEnd>, std::greater<>> m_ends;
-    std::unordered_map<request::RequestId, Open> m_open;
+    std::priority_queue<AttemptEnd, std::vector<AttemptEnd>, std::greater<>> m_attemptEnds;
+    std::unordered_map<request::RequestId, OpenRequest> m_openRequests;
     std::vector<double> m_latencies; ///< milliseconds, of good answers
     Result m_result;
 };
--- a/src/bench_requests/simulate_pvt.h
+++ b/src/bench_requests/simulate_pvt.h
@@ -1,6 +1,6 @@
 /// \file
-/// Drives the request kernel of one entry VM on a virtual clock against a pool of endpoints with
-/// random service times, and counts what the callers see.
+/// Simulates the request kernel of one entry VM on a virtual clock, with a pool of endpoints that have
+/// random service times. Counts the outcomes that callers see.
 #pragma once
 
 #include <damaskworks/names.h>
@@ -10,7 +10,7 @@
 
 namespace damask::bench {
 
-/// What is wrong with one endpoint of the pool.
+/// Fault of one endpoint of the pool.
 enum class Fault {
     None,
     Slow, ///< ten times the service time
@@ -27,24 +27,24 @@
     { Fault::Refusing, "refusing" },
 } };
 
-/// Course of the demand over time.
-enum class Shape {
+/// How the demand varies over time.
+enum class DemandPattern {
     Steady,
-    Peaks, ///< seconds at five times the mean, and at a twentieth of it
+    Peaks, ///< 3 s at five times the mean and 6 s at a twentieth of it in every 20 s
 };
 
-inline constexpr NameTable<Shape, 2> shapeNames { {
-    { Shape::Steady, "steady" },
-    { Shape::Peaks, "peaks" },
+inline constexpr NameTable<DemandPattern, 2> demandPatternNames { {
+    { DemandPattern::Steady, "steady" },
+    { DemandPattern::Peaks, "peaks" },
 } };
 
-/// One run.
+/// Parameters of one run.
 struct Scenario {
     std::string balancer = "weighted";
     std::string admission = "deadline";
     bool ejection = true;
-    Shape shape = Shape::Steady;
-    double load = 1; ///< mean demand over the capacity of the whole pool
+    DemandPattern pattern = DemandPattern::Steady;
+    double load = 1; ///< mean demand as a multiple of the capacity of the whole pool
     Fault fault = Fault::None;
     std::uint64_t seed = 1;
 };
@@ -52,9 +52,9 @@
 /// Counts of one run. Every request is in exactly one of good, late, refused and failed.
 struct Result {
     std::uint64_t offered = 0;
-    std::uint64_t good = 0; ///< whole answers in time
-    std::uint64_t late = 0; ///< whole answers or none by the deadline, although accepted
-    std::uint64_t refused = 0; ///< answered as not run before the deadline
+    std::uint64_t good = 0; ///< complete answers before the deadline
+    std::uint64_t late = 0; ///< accepted, but not answered before the deadline
+    std::uint64_t refused = 0; ///< rejected before the deadline without being run
     std::uint64_t failed = 0; ///< server errors and failed attempts before the deadline
     std::uint64_t attempts = 0;
     std::uint64_t retries = 0;
@@ -65,7 +65,7 @@
     double goodput() const { return double(good) / seconds; }
 };
 
-/// Requests a second that the pool without a fault can serve.
+/// Requests per second that the pool can serve without a fault.
 double capacity();
 
 /// Runs the scenario; the same scenario gives the same result.
--- a/src/libpeer/peer_service.cpp
+++ b/src/libpeer/peer_service.cpp
@@ -220,10 +220,10 @@
     {
         const bool isKnown = state.members.contains(heartbeat.node);
         const bool wasSuperseded = state.superseded;
-        const auto verdict = membership::observe(state, heartbeat, clock.now());
+        const auto result = membership::observe(state, heartbeat, clock.now());
         if (state.superseded && !wasSuperseded)
             logEvent(LogLevel::Error, "name_taken_over", { { "node", heartbeat.node } });
-        if (verdict != membership::Verdict::Newer)
+        if (result != membership::Verdict::Newer)
             return;
         if (!isKnown)
             logEvent(LogLevel::Info, "peer_joined",
