--- a/src/bench_control/return_bench.cpp
+++ b/src/bench_control/return_bench.cpp
@@ -68,12 +68,12 @@
 {
     Loop loop;
     standin::FakePlatform platform;
-    auto injectedOutcome = standin::Fate::Answer;
+    auto injectedOutcome = standin::InjectedOutcome::Answer;
     PeakRateMeter reads;
     PeakRateMeter writes;
     Timer answerTimer(loop.base(), [&] {
-        for (auto remaining = platform.waiting(); remaining > 0; --remaining)
-            platform.decide(injectedOutcome);
+        for (auto remaining = platform.pendingRequests(); remaining > 0; --remaining)
+            platform.completeNext(injectedOutcome);
         reads.count(platform.reads);
         writes.count(platform.writes);
     });
@@ -92,10 +92,10 @@
     commitOnEachNode(1);
     runFor(calmPeriod);
     const auto peakCalmReads = reads.peak();
-    injectedOutcome = standin::Fate::LoseAfter;
+    injectedOutcome = standin::InjectedOutcome::LoseAnswer;
     commitOnEachNode(lostAnswersPerNode);
     runFor(2ms);
-    injectedOutcome = standin::Fate::Refuse;
+    injectedOutcome = standin::InjectedOutcome::Refuse;
     reads.reset();
     writes.reset();
     writes.count(platform.writes);
@@ -105,7 +105,7 @@
     reads.reset();
     writes.reset();
     const auto recoveryStart = std::chrono::steady_clock::now();
-    injectedOutcome = standin::Fate::Answer;
+    injectedOutcome = standin::InjectedOutcome::Answer;
     writes.count(platform.writes);
     commitOnEachNode(1);
     loop.runUntil(
--- a/src/bench_control/spread_bench.cpp
+++ b/src/bench_control/spread_bench.cpp
@@ -51,10 +51,10 @@
               { [this] { return heartbeat(); },
                   [this](const Heartbeat& peerHeartbeat) { onPeerHeartbeat(peerHeartbeat); },
                   [this](TableVersion since) { return m_mirror.rowsSince(since); },
-                  [this](const RowSet& set) { m_mirror.take(set); } },
+                  [this](const RowSet& set) { m_mirror.applyIfNewer(set); } },
               static_cast<std::uint64_t>(number) + 1000)
         , m_tick(loop.base(), [this] { peers.tick(); })
-        , m_hint(loop.base(), [this] { peers.hint(); })
+        , m_hint(loop.base(), [this] { peers.sendHints(); })
     {
         m_self.cluster = "c";
         m_self.node = "entry-" + std::to_string(number);
@@ -161,8 +161,8 @@
     for (int i = 0; i < specRowCount; ++i)
         commitChange(platform, i);
     Timer answerTimer(loop.base(), [&] {
-        while (platform.waiting() > 0)
-            platform.decide(standin::Fate::Answer);
+        while (platform.pendingRequests() > 0)
+            platform.completeNext(standin::InjectedOutcome::Answer);
     });
     answerTimer.startPeriodic(1ms);
     std::vector<std::unique_ptr<Node>> nodes;
--- a/src/bench_path/bench_path.cpp
+++ b/src/bench_path/bench_path.cpp
@@ -80,7 +80,7 @@
         addresses.push_back({ "127.0.0.1", static_cast<std::uint16_t>(std::stoi(port)) });
     }
     auto& daemon = fleet.startDaemon("a", "east");
-    fleet.publishList();
+    fleet.publishVmList();
     fleet.create(daemon.admin, "pools", "pricing", json::object());
     for (int i = 0; i < endpointCount; ++i)
         fleet.create(daemon.admin, "vms", "vm-" + std::to_string(i),
--- a/src/bench_placement/bench_placement.cpp
+++ b/src/bench_placement/bench_placement.cpp
@@ -39,7 +39,7 @@
         spec.declared
             = { double(1 + i % 13), double(1024 * (1 + i % 17)), double(i % 5 == 0 ? 1 + i % 3 : 0) };
         spec.priority = Priority(i % 3);
-        declare(state, spec);
+        declareJob(state, spec);
     }
     for (std::int64_t i = 0; i < teamsAtTarget; ++i)
         setQuota(state, "team-" + std::to_string(i), Resources { 400, 4'000'000, 40 });
--- a/src/bench_requests/bench_choose.cpp
+++ b/src/bench_requests/bench_choose.cpp
@@ -30,7 +30,7 @@
 {
     auto state = makeState(run.range(0), balancer);
     auto& pool = state.pools.at("pricing");
-    const Candidates candidates { pool.local, pool.cursor, 0.05, 10s, start, state.random };
+    const Candidates candidates { pool.availableLocal, pool.cursor, 0.05, 10s, start, state.random };
     for (auto _ : run)
         benchmark::DoNotOptimize(&pool.balancer->choose(candidates));
 }
--- a/src/bench_requests/simulate.cpp
+++ b/src/bench_requests/simulate.cpp
@@ -78,7 +78,7 @@
         scheduleArrival();
         while (true) {
             const auto end = m_attemptEnds.empty() ? TimePoint::max() : m_attemptEnds.top().at;
-            const auto tick = request::nextDeadline(m_state);
+            const auto tick = request::nextTimerAt(m_state);
             m_now = std::max(m_now, std::min({ m_nextArrival, end, tick }));
             if (m_now == TimePoint::max())
                 return finish();
@@ -181,7 +181,7 @@
         m_openRequests.erase(action.id);
     }
 
-    void execute(const request::Abandon&) { }
+    void execute(const request::CancelAttempt&) { }
 
     Result finish()
     {
--- a/src/damaskd/api.cpp
+++ b/src/damaskd/api.cpp
@@ -214,7 +214,7 @@
     if (!body->contains("resourceVersion") || !(*body)["resourceVersion"].is_number_unsigned())
         return replyInvalid(exchange,
             { { "resourceVersion", body->value("resourceVersion", json()).dump(),
-                "the resourceVersion to replace, an unsigned integer" } });
+                "the version that is replaced" } });
     Resource replaced;
     replaced.kind = kind;
     replaced.name = name;
@@ -252,7 +252,7 @@
     if (!version || *version == 0)
         return replyInvalid(exchange,
             { { "resourceVersion", text.value_or(""),
-                "the resourceVersion to delete, as a query parameter" } });
+                "the version that is deleted, as a query parameter" } });
     if (kind == Kind::Configuration && name == currentConfigurationName)
         return replyInvalid(
             exchange, { { "name", name, "the configuration in force can only be replaced" } });
@@ -283,7 +283,7 @@
     if (!moved.status.contains("phase"))
         moved.status["phase"] = "in_service";
     if (moved.status["pool"] == pool)
-        return replyInvalid(exchange, { { "pool", pool, "a pool other than the VM's current pool" } });
+        return replyInvalid(exchange, { { "pool", pool, "a pool other than the VM's present one" } });
     moved.status["moveTo"] = pool;
     const auto key = resource::statusKey(Kind::Vm, name);
     Transaction transaction;
@@ -298,7 +298,7 @@
     // Refuse at once rather than start a commit whose outcome may stay unknown.
     if (m_dependencies.status().tableAge > maxTableAge) {
         m_dependencies.mirror.pollNow();
-        return replyError(exchange, 503, "the table has not responded for too long; nothing was changed",
+        return replyError(exchange, 503, "the table has been silent for too long; nothing was changed",
             { { "outcome", "not_changed" } });
     }
     m_dependencies.store.commit(std::move(transaction),
--- a/src/damaskd/daemon.cpp
+++ b/src/damaskd/daemon.cpp
@@ -227,8 +227,8 @@
     out.ready = m_mirror.isComplete() && !m_isStopping && !superseded;
     out.reason = out.ready ? ""
         : m_isStopping     ? "stopping"
-        : superseded       ? "a newer process uses this node's name"
-                           : "the resources have not been read yet from the table, a snapshot or a peer";
+        : superseded       ? "a newer process has this node's name"
+                           : "neither the table nor a peer's rows have been read yet";
     return out;
 }
 
@@ -248,7 +248,7 @@
     if (m_specVersion <= m_announcedSpecVersion)
         return;
     m_announcedSpecVersion = m_specVersion;
-    m_peers.hint();
+    m_peers.sendHints();
 }
 
 bool Daemon::isProcessLive(const std::string& node, std::uint64_t incarnation) const
@@ -319,7 +319,7 @@
     m_releaseDeadline = m_clock.now() + releaseTimeout;
     withdrawFromBalancer();
     m_callerServer.startDraining();
-    m_peers.hint();
+    m_peers.sendHints();
     m_controllers.stop();
     m_stopTimer.startOnce(balancerUpdateDelay);
 }
--- a/src/include/damaskworks/peer.h
+++ b/src/include/damaskworks/peer.h
@@ -24,12 +24,12 @@
 /// Limits and timeouts of PeerService.
 struct PeerLimits {
     std::size_t outgoingConnections = 8; ///< connections that this node keeps open to peers
-    std::size_t peersPerHint = 3; ///< peers that get the own heartbeat from one call of hint()
+    std::size_t peersPerHint = 3; ///< peers that get the own heartbeat from one call of sendHints()
     std::size_t acceptedConnections = 256; ///< open at the same time; further ones are refused
     std::size_t servedFetches = 4; ///< peers that may fetch rows at the same time
     std::size_t chunkBytes = 32 * 1024; ///< rows of one message; the row that reaches the limit is still sent
     std::size_t maxFetchedBytes = 64 * 1024 * 1024; ///< a fetch fails if its rows take more memory
-    std::chrono::milliseconds minHintInterval { 250 }; ///< hint() does nothing if it is called sooner
+    std::chrono::milliseconds minHintInterval { 250 }; ///< sendHints() does nothing if it is called sooner
     /// Time limit for an answer, and for the first valid call on an accepted connection.
     std::chrono::milliseconds callTimeout { 5'000 };
     std::chrono::milliseconds idleTimeout { 60'000 }; ///< closes an accepted connection without a valid call
@@ -63,7 +63,7 @@
     /// expired members. The daemon calls it periodically.
     void tick();
     /// Sends the own heartbeat at once to a few connected peers that don't have the newest spec row yet.
-    void hint();
+    void sendHints();
     /// Fetches the rows newer than \p newerThan from a peer. Does nothing if a fetch is in progress or no
     /// live peer has newer rows.
     void fetch(TableVersion newerThan);
--- a/src/libpeer/peer_service.cpp
+++ b/src/libpeer/peer_service.cpp
@@ -149,8 +149,8 @@
             served.reset();
             const auto servedFetches = std::count_if(accepted.begin(), accepted.end(),
                 [](const auto& entry) { return bool(entry.second->servedRows); });
-            KJ_REQUIRE(static_cast<std::size_t>(servedFetches) < limits.servedFetches,
-                "too many concurrent row fetches");
+            KJ_REQUIRE(
+                static_cast<std::size_t>(servedFetches) < limits.servedFetches, "too many peers fetch rows");
             served = callbacks.rowsNewerThan(params.getNewerThan());
             first = 0;
         }
@@ -186,12 +186,12 @@
         return codec::encode(digest);
     }
 
-    /// Throws if the peer belongs to another cluster or uses another protocol version.
+    /// Throws if the peer of another cluster or uses another protocol version.
     void checkClusterAndProtocol(const std::string& cluster, std::uint32_t protocol)
     {
         const auto self = callbacks.ownHeartbeat();
-        KJ_REQUIRE(cluster == self.cluster, "peer belongs to another cluster");
-        KJ_REQUIRE(protocol == self.protocol, "peer uses another protocol version");
+        KJ_REQUIRE(cluster == self.cluster, "peer of another cluster");
+        KJ_REQUIRE(protocol == self.protocol, "peer of another protocol");
     }
 
     /// Applies a peer's digest to the membership. Throws if the digest is invalid. Returns the node that
@@ -200,11 +200,10 @@
     {
         const auto digest = codec::decodeDigest(bytes);
         checkClusterAndProtocol(digest.cluster, digest.protocol);
-        KJ_REQUIRE(!digest.heartbeats.empty(), "digest contains no heartbeat");
+        KJ_REQUIRE(!digest.heartbeats.empty(), "digest without a sender");
         for (const auto& heartbeat : digest.heartbeats) {
             const bool hasValidName = !heartbeat.node.empty() && heartbeat.node.size() <= maxNameLength;
-            KJ_REQUIRE(hasValidName && heartbeat.loads.size() <= maxLoads,
-                "heartbeat has an invalid node name or too many loads");
+            KJ_REQUIRE(hasValidName && heartbeat.loads.size() <= maxLoads, "heartbeat out of bounds");
         }
         const auto self = callbacks.ownHeartbeat();
         state.self = self.node;
@@ -223,7 +222,7 @@
         const auto result = membership::observe(state, heartbeat, clock.now());
         if (state.superseded && !wasSuperseded)
             logEvent(LogLevel::Error, "name_taken_over", { { "node", heartbeat.node } });
-        if (result != membership::Verdict::Newer)
+        if (result != membership::HeartbeatResult::Newer)
             return;
         if (!isKnown)
             logEvent(LogLevel::Info, "peer_joined",
@@ -382,7 +381,7 @@
     {
         closeBroken();
         closeIdleAccepted();
-        membership::expire(state, clock.now());
+        membership::removeExpired(state, clock.now());
         if (const auto peer = choosePeer())
             exchangeWith(*peer, true);
     }
@@ -535,7 +534,7 @@
 
 void PeerService::tick() { m_impl->tick(); }
 
-void PeerService::hint() { m_impl->sendHints(); }
+void PeerService::sendHints() { m_impl->sendHints(); }
 
 void PeerService::fetch(TableVersion newerThan) { m_impl->fetch(newerThan); }
 
--- a/src/libresource/validate.cpp
+++ b/src/libresource/validate.cpp
@@ -154,7 +154,7 @@
     return value.is_string() && isName(value.get_ref<const std::string&>());
 }
 
-constexpr std::string_view nameDescription = "1 to 63 characters of a-z, 0-9 and '-', not starting with '-'";
+constexpr std::string_view nameDescription = "1 to 63 of a-z, 0-9 and '-', not starting with '-'";
 
 std::string describeRange(const FieldRule& rule, std::string_view noun)
 {
@@ -179,7 +179,7 @@
         if (value.is_string() && value.get_ref<const std::string&>().size() <= rule.maximum
             && value.get_ref<const std::string&>().size() >= rule.minimum)
             return std::nullopt;
-        return describeRange(rule, "a string of length");
+        return describeRange(rule, "a string, length");
     case FieldType::Address:
         if (value.is_string() && http::parseAddress(value.get_ref<const std::string&>()))
             return std::nullopt;
@@ -196,10 +196,10 @@
     case FieldType::Priority:
         if (value == "urgent" || value == "normal" || value == "low")
             return std::nullopt;
-        return "urgent, normal or low";
+        return "urgent, normal, low";
     case FieldType::FailureDomain:
         return value == "rack" || value == "dataCentre" ? std::nullopt
-                                                        : std::optional<std::string>("rack or dataCentre");
+                                                        : std::optional<std::string>("rack, dataCentre");
     case FieldType::List:
         return value.is_array() ? std::nullopt : std::optional<std::string>("a list");
     case FieldType::Object:
@@ -244,7 +244,7 @@
             if (rule.isOptional)
                 continue;
             if (rule.defaultValue.is_null())
-                errors.push_back({ field, "", "a value (the field is required)" });
+                errors.push_back({ field, "", "a value: the field is required" });
             else
                 object[std::string(rule.name)] = rule.defaultValue;
             continue;
