--- a/src/damaskd/keyed_requests.cpp
+++ b/src/damaskd/keyed_requests.cpp
@@ -37,13 +37,13 @@
     json out = { { "node", claim.node }, { "incarnation", claim.incarnation }, { "serial", claim.serial },
         { "fingerprint", claim.fingerprint },
         { "state", nameOf(idempotency::claimStateNames, claim.state) } };
-    if (!claim.answer)
+    if (!claim.response)
         return out;
     json headers = json::array();
-    for (const auto& [name, value] : claim.answer->headers)
+    for (const auto& [name, value] : claim.response->headers)
         headers.push_back({ name, value });
-    out["answer"] = { { "status", claim.answer->status }, { "headers", headers },
-        { "body", json::binary({ claim.answer->body.begin(), claim.answer->body.end() }) } };
+    out["answer"] = { { "status", claim.response->status }, { "headers", headers },
+        { "body", json::binary({ claim.response->body.begin(), claim.response->body.end() }) } };
     return out;
 }
 
@@ -75,11 +75,11 @@
         value.value("serial", std::uint64_t { 0 }), value.value("fingerprint", ""), *state, std::nullopt };
     if (!value.contains("answer"))
         return claim;
-    const auto& answer = value["answer"];
-    const auto& body = answer["body"].get_binary();
-    claim.answer = { answer.value("status", 0), {}, std::string(body.begin(), body.end()) };
-    for (const auto& header : answer["headers"])
-        claim.answer->headers.emplace_back(header[0].get<std::string>(), header[1].get<std::string>());
+    const auto& response = value["answer"];
+    const auto& body = response["body"].get_binary();
+    claim.response = { response.value("status", 0), {}, std::string(body.begin(), body.end()) };
+    for (const auto& header : response["headers"])
+        claim.response->headers.emplace_back(header[0].get<std::string>(), header[1].get<std::string>());
     return claim;
 }
 
@@ -148,7 +148,7 @@
             return callback({ ClaimResult::Kind::Unverifiable });
         ClaimResult out { ClaimResult::Kind::AlreadyClaimed };
         out.decision = decideRepeat(*claim, fingerprint, m_isProcessLive(claim->node, claim->incarnation));
-        out.storedResponse = claim->answer;
+        out.storedResponse = claim->response;
         callback(std::move(out));
     });
 }
@@ -169,7 +169,7 @@
 void KeyClaims::recordDone(HeldClaim held, const HttpResponse& response)
 {
     held.claim.state = idempotency::ClaimState::Done;
-    held.claim.answer = storableResponse(response);
+    held.claim.response = storableResponse(response);
     queueWrite(std::move(held), false);
 }
 
--- a/src/include/damaskworks/adapter.h
+++ b/src/include/damaskworks/adapter.h
@@ -32,7 +32,7 @@
 /// What a caller's request does.
 enum class CallerAction { Submit, ReadState, Cancel, CountPending, Unsupported };
 
-/// Decodes callers' requests and the table rows that VMs and operators write, and encodes the answers.
+/// Decodes callers' requests and the table rows that VMs and operators write, and encodes the responses.
 class Codec {
 public:
     virtual ~Codec() = default;
@@ -40,7 +40,7 @@
     virtual CallerAction action(std::string_view method, std::string_view pathSuffix) const = 0;
     /// Decodes the body of a submission; leaves the job's id, queue, pool and time of acceptance empty.
     virtual tl::expected<JobSpec, FormatError> decodeSubmission(std::string_view body) const = 0;
-    /// How long the caller waits for an answer; nothing if the request does not say or the value is invalid.
+    /// How long the caller waits for a response; nothing if the request does not say or the value is invalid.
     virtual std::optional<milliseconds> callerDeadline(const HttpRequest& request) const = 0;
     virtual std::string encodeState(JobState state) const = 0;
     /// Encodes the number of jobs in a queue that have not ended.
--- a/src/include/damaskworks/caller_service.h
+++ b/src/include/damaskworks/caller_service.h
@@ -1,5 +1,5 @@
 /// \file
-/// Answers callers' requests: submissions, states, cancellations and counts of jobs.
+/// Replies to callers' requests: submissions, states, cancellations and counts of jobs.
 #pragma once
 
 #include <damaskworks/adapter.h>
@@ -56,7 +56,7 @@
     void retry(const CallPointer& call, void (CallerService::*operation)(const CallPointer&));
     bool hasTimeLeft(const Call& call) const;
     milliseconds attemptTimeout(const Call& call) const;
-    /// Replies, and logs and counts the answer. \p outcome goes into the log only.
+    /// Replies, and logs and counts the response. \p outcome goes into the log only.
     void reply(const CallPointer& call, int status, std::string body, std::string_view outcome);
 
     CallerContext m_context;
--- a/src/include/damaskworks/controller_runner.h
+++ b/src/include/damaskworks/controller_runner.h
@@ -96,8 +96,8 @@
     Timer m_planTimer;
     Timer m_planSoonTimer;
     Timer m_reportTimer;
-    TimePoint m_vmReportsRequestedAt {}; ///< of the request that m_vmReports answers
-    TimePoint m_taskReportsRequestedAt {}; ///< of the request that m_taskReports answers
+    TimePoint m_vmReportsRequestedAt {}; ///< of the request that m_vmReports responds to
+    TimePoint m_taskReportsRequestedAt {}; ///< of the request that m_taskReports responds to
     bool m_isVmReportPending = false;
     bool m_isTaskReportPending = false;
     bool m_isStopping = false;
--- a/src/include/damaskworks/deployment.h
+++ b/src/include/damaskworks/deployment.h
@@ -33,9 +33,9 @@
     int maxRowBytes = 0; ///< largest value of a table row
 };
 
-/// How the advice service answers about the steps of a queue.
+/// How the advice service responds to requests about the steps of a queue.
 struct AdviceSettings {
-    milliseconds baseLatency { 0 }; ///< latency of an answer, without that for each VM
+    milliseconds baseLatency { 0 }; ///< latency of a response, without that for each VM
     milliseconds latencyPerVm { 0 }; ///< additional latency for each VM in the question
     milliseconds validFor { 0 }; ///< lifetime of a ticket
 };
--- a/src/include/damaskworks/endpoint_control.h
+++ b/src/include/damaskworks/endpoint_control.h
@@ -66,7 +66,7 @@
     std::string checkpoint;
 };
 
-/// A VM's answer to a heartbeat.
+/// A VM's response to a heartbeat.
 struct VmReport {
     milliseconds vmClock { 0 }; ///< steady clock of the VM
     std::int64_t bootTime = 0; ///< as in VmRegistration
@@ -95,7 +95,7 @@
 struct HeartbeatCommand {
     milliseconds leaseUntil { 0 }; ///< end of the lease, on the VM's clock; 0: do not renew it
     std::uint64_t acknowledged = 0; ///< the holder has stored the ends up to this number durably
-    milliseconds wait { 0 }; ///< the VM answers after this time at the latest, or as soon as a run ends
+    milliseconds wait { 0 }; ///< the VM responds after this time at the latest, or as soon as a run ends
 };
 
 /// Outcome of a command.
@@ -105,12 +105,12 @@
     Superseded, ///< the VM has seen a higher fencing token
     StaleRun, ///< this run or a later run of the task was stopped or has ended on the VM
     LeaseExpired, ///< the lease in the command had already expired
-    WrongVm, ///< a VM with another id answered at the address
+    WrongVm, ///< a VM with another id responded at the address
     InvalidTicket, ///< the VM rejected the ticket
     Refused, ///< the service is unhealthy, overloaded or busy; it did nothing
     Unreachable, ///< no byte of the command was sent
-    Invalid, ///< the service rejected the command as malformed, or its answer cannot be decoded
-    Unknown, ///< no clear answer: the command may have been executed, or may still be
+    Invalid, ///< the service rejected the command as malformed, or its response cannot be decoded
+    Unknown, ///< no clear response: the command may have been executed, or may still be
 };
 
 inline constexpr NameTable<CommandOutcome, 11> commandOutcomeNames { {
@@ -143,7 +143,7 @@
         = 0;
 };
 
-/// Answer of the advice service about a step.
+/// Response of the advice service about a step.
 struct Advice {
     std::map<std::string, std::string>
         tickets; ///< by VM; a VM of the question that has none may not run the step
--- a/src/include/damaskworks/fleet_node.h
+++ b/src/include/damaskworks/fleet_node.h
@@ -67,9 +67,9 @@
     /// Returns whether the node has what it needs to serve callers and to run pools.
     bool canServe() const;
     /// Returns whether the balancer should send callers to this node. This is stricter than canServe(): other
-    /// nodes can serve the callers, but a pool must not lose its holder because the table answers slowly.
+    /// nodes can serve the callers, but a pool must not lose its holder because the table responds slowly.
     bool isReady() const;
-    /// Returns whether the table has answered within \p maxAge about both jobs and control rows.
+    /// Returns whether the table has responded within \p maxAge about both jobs and control rows.
     bool hasRecentContact(std::chrono::milliseconds maxAge) const;
     /// Periodic work: drops ended holders, updates metrics and logs changes of the readiness.
     void tick();
--- a/src/include/damaskworks/fleet_plan.h
+++ b/src/include/damaskworks/fleet_plan.h
@@ -1,6 +1,6 @@
 /// \file
 /// Planning of machine maintenance and of moves between pools. One node, the machine coordinator, plans for
-/// the whole fleet; the holder of each pool drains its machines. CPU is in thousandths of a core.
+/// the whole fleet; the holder of each pool evacuates its machines. CPU is in thousandths of a core.
 #pragma once
 
 #include <damaskworks/clock.h>
@@ -31,9 +31,9 @@
     int workingMachines = 0; ///< number of these VMs
     std::map<std::string, int> runs; ///< number of runs by machine; machines without runs are left out
     std::set<std::string> serving; ///< machines that run long-running tasks or have not reported yet
-    /// Drained machines, which run nothing and get no tasks, with the MachineTask::id that they were drained
-    /// for. The id is needed because the row may be seconds old: a machine may have been drained for an
-    /// earlier task and run tasks again since.
+    /// Evacuated machines, which run nothing and get no tasks, with the MachineTask::id that they were
+    /// evacuated for. The id is needed because the row may be seconds old: a machine may have been evacuated
+    /// for an earlier task and run tasks again since.
     std::map<std::string, std::string> empty;
     bool operator==(const PoolLoad&) const = default;
 };
@@ -52,7 +52,7 @@
 
 /// Progress of a machine task.
 enum class MachineTaskState {
-    Emptying, ///< the holder of its pool drains the machine
+    Emptying, ///< the holder of its pool evacuates the machine
     Ordered, ///< the platform has accepted the command
 };
 
@@ -97,7 +97,7 @@
 
 /// Limits of the coordinator.
 struct FleetLimits {
-    /// Time to drain one machine and carry out its maintenance.
+    /// Time to evacuate one machine and carry out its maintenance.
     milliseconds timePerMachine { 6000 };
     /// Share of a pool's machines that may be unavailable at once for maintenance.
     double maxUnavailableShare = 0.34;
@@ -119,8 +119,8 @@
 /// New moves of machines to pools that need them: standby machines first, then the least loaded machines of
 /// pools with a surplus. Machines with long-running tasks are not moved.
 std::vector<MachineTask> planMoves(const FleetState& state, const FleetLimits& limits, TimePoint now);
-/// Whether the machine is drained, so that the platform may be told to carry out the task.
-bool mayOrder(const FleetState& state, const MachineTask& task);
+/// Whether the machine is evacuated, so that the coordinator may send the command for the task.
+bool maySendCommand(const FleetState& state, const MachineTask& task);
 /// Whether the task is finished: the machine is up in the right pool and runs a new VM, or is in a standby
 /// pool, whose VMs are off.
 bool hasMachineReturned(const FleetState& state, const MachineTask& task);
--- a/src/include/damaskworks/idempotency.h
+++ b/src/include/damaskworks/idempotency.h
@@ -49,7 +49,7 @@
     std::uint64_t serial = 0; ///< number of the claim among those of its holder
     std::string fingerprint; ///< hash of the request
     ClaimState state = ClaimState::Running;
-    std::optional<StoredResponse> answer; ///< for Done; std::nullopt if it was too long to store
+    std::optional<StoredResponse> response; ///< for Done; std::nullopt if it was too long to store
 };
 
 /// What to do with a repeat: a request whose key has a claim already.
--- a/src/include/damaskworks/machine_coordinator.h
+++ b/src/include/damaskworks/machine_coordinator.h
@@ -53,8 +53,8 @@
     const FleetRows& rows;
 };
 
-/// Plans machine tasks (maintenance and moves), sends the orders to the platform and reports finished waves.
-/// The coordinator records each task in the table before it sends the order.
+/// Plans machine tasks (maintenance and moves), sends the commands to the platform and reports finished
+/// waves. The coordinator records each task in the table before it sends the command.
 class MachineCoordinator {
 public:
     /// Calls \p onEnd once, when the lease is lost or released.
@@ -65,7 +65,7 @@
     /// Version of the lease row at acquisition.
     Version acquiredVersion() const { return m_acquiredVersion; }
     bool hasBegun() const { return m_begun; }
-    /// Starts to send orders. Requires rows that cover acquiredVersion().
+    /// Starts to send commands. Requires rows that cover acquiredVersion().
     void begin(const FleetConfig& config, const std::map<std::int64_t, WaveRequest>& waves);
     void applyConfig(const FleetConfig& config);
     void applyWave(const WaveRequest& wave);
@@ -73,23 +73,23 @@
     void applyVm(const VmRegistration& vm);
     /// The registration of the VM has ended.
     void removeVm(const VmRegistration& vm);
-    /// Plans from the current state, and sends the resulting orders and reports.
+    /// Plans from the current state, and sends the resulting commands and reports.
     void reconcile();
-    /// Stops sending orders and releases the lease.
+    /// Stops sending commands and releases the lease.
     void release();
 
 private:
     void updateLoads();
     void requestMachineList(TimePoint now);
     void applyMachineList(std::vector<Machine> machines);
-    /// Finds tasks whose machine is up with its old VM after the order was accepted. An earlier coordinator
-    /// had already had the order carried out.
-    void detectRepeatedOrders();
+    /// Finds tasks whose machine is up with its old VM after the command was accepted. An earlier coordinator
+    /// had already had the command carried out.
+    void detectRepeatedCommands();
     void beginTasks(TimePoint now);
     void beginTask(MachineTask task);
-    void sendOrders(TimePoint now);
-    void sendOrder(const MachineTask& task);
-    void onOrderOutcome(const std::string& machine, CommandOutcome outcome);
+    void sendCommands(TimePoint now);
+    void sendCommand(const MachineTask& task);
+    void onCommandOutcome(const std::string& machine, CommandOutcome outcome);
     void finishTasks();
     void reportWaves();
     void writeWaveStatus(std::int64_t wave, bool completed);
@@ -100,7 +100,7 @@
 
     CoordinatorContext m_context;
     Version m_acquiredVersion;
-    std::uint64_t m_taskCount = 0; ///< tasks that this coordinator has begun; part of their ids
+    std::uint64_t m_taskCount = 0; ///< tasks that this coordinator has started; part of their ids
     std::function<void()> m_onEnd;
     FleetState m_state;
     std::set<std::string> m_unregisteredVms; ///< VMs whose registration has ended
@@ -112,11 +112,11 @@
     std::set<std::int64_t> m_changedWaves; ///< waves whose rows must be written
     std::set<std::int64_t> m_committedWaves; ///< waves whose rows are up to date
     std::set<std::string> m_changedTasks; ///< machines whose task rows must be written
-    std::map<std::string, TimePoint> m_nextOrderAt; ///< by machine, earliest time of the next attempt
-    std::set<std::string> m_ordersInFlight; ///< machines with an unanswered order
+    std::map<std::string, TimePoint> m_nextCommandAt; ///< by machine, earliest time of the next attempt
+    std::set<std::string> m_commandsInFlight; ///< machines with a command that has no response yet
     std::map<std::int64_t, bool> m_reported; ///< by wave, whether it was reported as completed
     std::set<std::int64_t> m_statusWritesInFlight; ///< waves with a status write in flight
-    std::map<std::string, TimePoint> m_orderAcceptedAt; ///< by machine, when its order was accepted
+    std::map<std::string, TimePoint> m_commandAcceptedAt; ///< by machine, when its command was accepted
     TimePoint m_nextListAt {};
     TimePoint m_listRequestedAt {}; ///< time of the last request for the machine list
     bool m_isListing = false;
--- a/src/include/damaskworks/pool_holder.h
+++ b/src/include/damaskworks/pool_holder.h
@@ -30,11 +30,11 @@
     MachineControl& machines;
     AdviceControl& advice;
     const JobDirectory& directory;
-    /// Returns whether the job table has answered recently enough to start tasks.
+    /// Returns whether the job table has responded recently enough to start tasks.
     std::function<bool()> isDirectoryFresh;
 };
 
-/// Sends orders to the VMs of one pool and records what they report.
+/// Sends commands to the VMs of one pool and records what they report.
 class PoolHolder {
 public:
     /// Calls \p onProgressLoaded once, when it has read the progress that earlier holders recorded, and
@@ -50,7 +50,7 @@
     bool hasBegun() const { return m_begun; }
     /// Returns whether the progress recorded by earlier holders is loaded.
     bool isProgressLoaded() const { return m_earlierProgress.has_value(); }
-    /// Starts to send orders. Requires isProgressLoaded(), and a directory and VM registry that cover
+    /// Starts to send commands. Requires isProgressLoaded(), and a directory and VM registry that cover
     /// acquiredVersion().
     void begin(const FleetConfig& config, const std::map<std::string, VmRegistration>& vms);
     void applyConfig(const FleetConfig& config);
@@ -59,7 +59,7 @@
     void unlistVm(const std::string& id);
     /// Sets the machines to evacuate, each with the id of the machine task that requires it.
     void setEvacuations(const std::map<std::string, std::string>& machines);
-    /// Stops sending orders and releases the lease.
+    /// Stops sending commands and releases the lease.
     void release();
     const PoolState& state() const { return m_state; }
 
@@ -67,13 +67,13 @@
     /// Groups events that arrive close together into one call of reconcile().
     static constexpr milliseconds reconcileDelay { 2 };
 
-    /// State of the hold requests to one VM. A hold request renews the VM's lease, acknowledges completions
+    /// State of the heartbeats to one VM. A heartbeat renews the VM's lease, acknowledges ends of runs
     /// and waits for new ones (see HeartbeatCommand).
-    struct HoldState {
+    struct HeartbeatState {
         bool isInFlight = false;
-        TimePoint nextHoldAt {};
-        TimePoint ackPendingSince {}; ///< zero: no request waits for completions to become durable
-        std::uint64_t lastAckSent = 0; ///< highest completion number that a request has acknowledged
+        TimePoint nextHeartbeatAt {};
+        TimePoint ackPendingSince {}; ///< zero: no heartbeat waits for ends to become durable
+        std::uint64_t lastAckSent = 0; ///< highest EndReport::number that a heartbeat has acknowledged
     };
 
     void requestMachineList();
@@ -82,18 +82,18 @@
     void addRecordedJob(JobSpec job, const JobRecord& record);
     /// Calls reconcile() after \p delay, unless an earlier call is scheduled.
     void scheduleReconcile(std::chrono::microseconds delay);
-    /// Plans from the current state and sends the resulting orders.
+    /// Plans from the current state and sends the resulting commands.
     void reconcile();
     void sendStops(TimePoint now);
     void sendStarts(TimePoint now);
-    void sendHolds(TimePoint now);
-    bool needsHold(const VmState& vm, HoldState& holdState, TimePoint now);
-    void sendHold(const std::string& name, VmState& vm, HoldState& holdState, TimePoint now);
+    void sendHeartbeats(TimePoint now);
+    bool needsHeartbeat(const VmState& vm, HeartbeatState& heartbeatState, TimePoint now);
+    void sendHeartbeat(const std::string& name, VmState& vm, HeartbeatState& heartbeatState, TimePoint now);
     void onReport(const std::string& name, tl::expected<VmReport, CommandOutcome> report, TimePoint sentAt);
     void onSpecRead(const std::string& job, std::string spec);
     void onStartOutcome(const StartAction& start, CommandOutcome outcome, TimePoint sentAt);
-    void sendPaces(const std::string& name, TimePoint now);
-    void handleOrderOutcome(const std::string& vm, CommandOutcome outcome);
+    void sendThrottleCommands(const std::string& name, TimePoint now);
+    void handleCommandOutcome(const std::string& vm, CommandOutcome outcome);
     VmTarget makeTarget(const VmState& vm) const;
     LedgerBatch collectBatch();
     void onCommitted(const LedgerBatch& batch);
@@ -119,7 +119,7 @@
     Timer m_reconcileTimer;
     TimePoint m_reconcileAt {};
     bool m_isReconcileScheduled = false;
-    std::map<std::string, HoldState> m_holdStates;
+    std::map<std::string, HeartbeatState> m_heartbeatStates;
     WaitingStarts m_waitingStarts;
     std::set<std::string> m_jobsInTransaction; ///< jobs that the transaction in flight writes
     std::set<std::string> m_removedJobs; ///< removed jobs whose end the directory does not show yet
--- a/src/include/damaskworks/pool_lease.h
+++ b/src/include/damaskworks/pool_lease.h
@@ -29,7 +29,7 @@
     std::chrono::milliseconds expiry { 2000 };
     /// Three renewals fit into the expiry, so that one of them may fail.
     std::chrono::milliseconds renewalInterval { 600 };
-    /// The holder stops sending orders this long before other nodes may acquire its lease.
+    /// The holder stops sending commands this long before other nodes may acquire its lease.
     std::chrono::milliseconds safetyMargin { 300 };
 };
 
--- a/src/include/damaskworks/pool_ledger.h
+++ b/src/include/damaskworks/pool_ledger.h
@@ -18,18 +18,18 @@
 
 namespace damask::fleet {
 
-/// Completions of one boot of a VM that are recorded in the table, up to a sequence number.
-struct DurableCompletions {
+/// Ends of runs in one boot of a VM that are recorded in the table, up to a sequence number.
+struct DurableEnds {
     std::int64_t bootTime = 0; ///< identifies the boot, milliseconds since 1970
     std::uint64_t lastNumber = 0; ///< highest recorded EndReport::number
 };
 
-/// Rows to write in one transaction, and the completions that are durable once it has committed.
+/// Rows to write in one transaction, and the ends of runs that are durable once it has committed.
 struct LedgerBatch {
     std::vector<TableWrite> writes;
     std::set<std::string> jobs; ///< jobs whose progress is among the rows
-    /// By VM: completions that the rows written up to and including this batch record.
-    std::map<std::string, DurableCompletions> completions;
+    /// By VM: ends of runs that the rows written up to and including this batch record.
+    std::map<std::string, DurableEnds> ends;
 };
 
 /// A lease that this node has just acquired.
@@ -40,7 +40,7 @@
 };
 
 /// Renews the lease and writes progress. Every transaction expects the lease row to be unchanged, so a
-/// replaced holder can write nothing. A transaction whose answer was lost may still commit later. The
+/// replaced holder can write nothing. A transaction whose response was lost may still commit later. The
 /// ledger therefore rewrites the lease row before it writes anything else, which invalidates the lost
 /// transaction's expectation.
 class PoolLedger {
@@ -52,7 +52,7 @@
         std::function<void(const LedgerBatch&)> committed;
         /// The transaction failed or its outcome is unknown; the rows must be written again.
         std::function<void(const LedgerBatch&)> failed;
-        /// The lease was renewed; if it had expired, the holder may send orders again.
+        /// The lease was renewed; if it had expired, the holder may send commands again.
         std::function<void()> renewed;
         /// Another node has acquired the lease. The ledger makes no further calls.
         std::function<void()> lost;
@@ -71,9 +71,9 @@
     void release();
     /// Renews the lease at once and uses the new row version as the fencing token.
     void raiseFencingToken();
-    /// Returns whether this node certainly holds the lease, so that it may send orders.
+    /// Returns whether this node certainly holds the lease, so that it may send commands.
     bool isLeaseValid() const;
-    /// Returns the fencing token to put into orders.
+    /// Returns the fencing token to put into commands.
     Version fencingToken() const { return m_fencingToken; }
     std::uint64_t term() const { return m_lease.term; }
 
--- a/src/include/damaskworks/pool_state.h
+++ b/src/include/damaskworks/pool_state.h
@@ -56,7 +56,7 @@
     TimePoint validUntil {};
 };
 
-/// Answers of the advice service about one step.
+/// Responses of the advice service about one step.
 struct StepAdvice {
     std::map<std::string, Ticket, std::less<>> tickets; ///< by VM
     std::set<std::string, std::less<>> deniedVms; ///< VMs that may not run the step
@@ -80,9 +80,9 @@
 struct JobEntry {
     JobSpec spec;
     JobState state = JobState::Queued;
-    bool begun = false; ///< has a durable record; its tasks are not started before
+    bool hasRecord = false; ///< has a durable record; its tasks are not started before
     bool hasSpec = false; ///< spec.spec is loaded
-    bool recovered = false; ///< an earlier holder may have started its tasks
+    bool isRecovered = false; ///< an earlier holder may have started its tasks
     bool cancelled = false;
     bool dirty = false; ///< differs from its durable record
     std::optional<JobState> recorded; ///< state last written to its row; empty: write it again
@@ -95,10 +95,10 @@
 /// A VM of the pool.
 struct VmState {
     VmRegistration entry;
-    bool listed = true; ///< present in the registry
+    bool isRegistered = true; ///< present in the registry
     bool hasReported = false; ///< has reported its runs to this holder, under its fencing token
     bool isUnresponsive = false; ///< the last call got no response
-    bool evacuating = false; ///< its tasks are drained for maintenance or a move
+    bool isEvacuating = false; ///< the holder evacuates the VM for maintenance or a move
     std::string evacuationTask; ///< MachineTask::id of that maintenance or move
     TimePoint evacuatingSince {};
     std::int64_t bootTime = 0; ///< boot time, see VmReport; differs after a reboot
@@ -122,7 +122,7 @@
 struct PoolLimits {
     /// How long a VM may delay its response to a heartbeat until a run ends.
     milliseconds maxHeartbeatWait { 1000 };
-    /// Lease of the tasks on a VM. It is longer than a change of holder takes: 2 s until the old holder's
+    /// Lease of the tasks on a VM. It is longer than a takeover takes: 2 s until the old holder's
     /// lease expires, then one load of its records.
     milliseconds vmLease { 4500 };
     /// Slowest rate of a VM's clock. It may run slow by 2%; the rest covers the rounding to milliseconds.
@@ -135,7 +135,7 @@
     milliseconds minStallTime { 4000 }; ///< but not before this time without progress
     milliseconds evacuationTimeout { 5000 }; ///< most tasks end within it; the rest are stopped
     milliseconds arrivalWindow { 800 }; ///< over which the arrival rate of work is measured
-    /// How far ahead the arrival rate is extrapolated. A machine joins the pool after about 2 s (drain,
+    /// How far ahead the arrival rate is extrapolated. A machine joins the pool after about 2 s (evacuation,
     /// move, registration), and the measured rate is that of the middle of the window.
     milliseconds forecastHorizon { 2400 };
     milliseconds preferredRackWait { 400 }; ///< how long a task waits for a VM in its preferred rack
@@ -158,10 +158,10 @@
     std::map<std::string, VmState, std::less<>> vms; ///< by id
     std::deque<Arrival> arrivals; ///< within the last two arrival windows, oldest first
     std::vector<StepId> stepsNeedingTickets; ///< steps for which the last planStarts() found no usable VM
-    /// After a change of holder: until then tasks of recovered jobs may run on VMs that have not reported.
+    /// After a takeover: until then tasks of recovered jobs may run on VMs that have not reported.
     TimePoint recoveryDeadline {};
     /// VMs of the pool according to the platform; the registry may lack some of them for a while after an
-    /// outage. Empty optional: the platform has not answered yet.
+    /// outage. Empty optional: the platform has not responded yet.
     std::optional<std::set<std::string>> platformVms;
 };
 
@@ -181,9 +181,9 @@
 /// Run numbers of a recovered task start above this value, so that they exceed those of earlier holders.
 constexpr std::uint32_t runNumberBase(std::uint64_t term) { return static_cast<std::uint32_t>(term) * 1000; }
 
-/// Adds a job. \p progress is its durable record, empty if there is none. \p recovered: an earlier holder
+/// Adds a job. \p progress is its durable record, empty if there is none. \p isRecovered: an earlier holder
 /// may have had the job.
-void addJob(PoolState& state, JobSpec spec, std::string_view progress, bool recovered);
+void addJob(PoolState& state, JobSpec spec, std::string_view progress, bool isRecovered);
 /// Adds the work of a new job to the arrival rate.
 void recordArrival(PoolState& state, const JobSpec& job, TimePoint now);
 /// Cancels a job; its runs are stopped by the next planStops().
--- a/src/include/damaskworks/shared_table.h
+++ b/src/include/damaskworks/shared_table.h
@@ -62,7 +62,7 @@
     Unknown, ///< the write may have taken effect, or still may
     Conflict, ///< a precondition did not hold; the call had no effect
     HistoryTruncated, ///< the table no longer keeps the requested changes
-    Invalid, ///< the table rejected the call for good, or its answer cannot be decoded
+    Invalid, ///< the table rejected the call for good, or its response cannot be decoded
 };
 
 inline constexpr NameTable<TableFailure, 6> tableFailureNames { {
--- a/src/include/damaskworks/step_advice.h
+++ b/src/include/damaskworks/step_advice.h
@@ -1,5 +1,5 @@
 /// \file
-/// Requests to the advice service, which says which VMs may run a step, and handling of its answers.
+/// Requests to the advice service, which says which VMs may run a step, and handling of its responses.
 #pragma once
 
 #include <damaskworks/pool_state.h>
@@ -14,13 +14,13 @@
 struct AdviceRequest {
     StepId step;
     std::vector<std::string> vms; ///< ids
-    milliseconds expected { 0 }; ///< expected time until the answer
+    milliseconds expected { 0 }; ///< expected time until the response
 };
 
 /// The next request, for the most urgent step that needs tickets. Marks the step's request as pending.
 std::optional<AdviceRequest> planAdviceRequest(PoolState& state, TimePoint now);
-/// Applies an answer. A failed request is retried after a delay.
+/// Applies a response. A failed request is retried after a delay.
 void applyAdvice(PoolState& state, const AdviceRequest& request,
-    const tl::expected<Advice, CommandOutcome>& answer, TimePoint now);
+    const tl::expected<Advice, CommandOutcome>& response, TimePoint now);
 
 } // namespace damask::fleet
--- a/src/include/damaskworks/step_advisor.h
+++ b/src/include/damaskworks/step_advisor.h
@@ -10,12 +10,12 @@
 
 namespace damask::fleet {
 
-/// Sends one question at a time, since the service answers a node's questions one after another.
+/// Sends one request at a time, since the service handles a node's requests one after another.
 class StepAdvisor {
 public:
-    /// Applies each answer to \p state, then calls \p onAnswer.
+    /// Applies each response to \p state, then calls \p onResponse.
     StepAdvisor(AdviceControl& service, PoolState& state, const Clock& clock, Metrics& metrics,
-        std::function<void()> onAnswer);
+        std::function<void()> onResponse);
     ~StepAdvisor();
     /// Sends the next question if there is one and no other question is in flight.
     void requestNext();
@@ -25,7 +25,7 @@
     PoolState& m_state;
     const Clock& m_clock;
     Metrics& m_metrics;
-    std::function<void()> m_onAnswer;
+    std::function<void()> m_onResponse;
     bool m_isRequestOpen = false;
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true); ///< false once destroyed
 };
--- a/src/include/damaskworks/table_contact.h
+++ b/src/include/damaskworks/table_contact.h
@@ -8,7 +8,7 @@
 
 /// Recent outcomes of calls to the table.
 struct TableContact {
-    TimePoint lastAnswer {}; ///< last response to any call; zero: none yet
+    TimePoint lastResponse {}; ///< last response to any call; zero: none yet
     int failures = 0; ///< failed calls since then, of those that certainly did nothing
 };
 
--- a/src/include/damaskworks/table_follower.h
+++ b/src/include/damaskworks/table_follower.h
@@ -43,9 +43,9 @@
     bool isLoaded() const { return m_isLoaded; }
     /// Version up to which all changes have been passed on.
     Version version() const { return m_version; }
-    /// Time of the last answer.
+    /// Time of the last response.
     TimePoint lastContact() const { return m_lastContact; }
-    /// Time up to which all changes have been passed on. Earlier than lastContact() if an answer took long.
+    /// Time up to which all changes have been passed on. Earlier than lastContact() if a response took long.
     TimePoint currentAsOf() const { return m_currentAsOf; }
 
 private:
@@ -73,7 +73,7 @@
     BatchListener m_onBatch;
     std::vector<TableRow> m_loadedRows;
     std::deque<std::string> m_partsToRead;
-    Version m_loadVersion = 0; ///< version of the first answer of a load
+    Version m_loadVersion = 0; ///< version of the first response of a load
     Version m_version = 0;
     bool m_isLoaded = false;
     bool m_needsReload = true;
--- a/src/include/damaskworks/timed_table.h
+++ b/src/include/damaskworks/timed_table.h
@@ -1,6 +1,6 @@
 /// \file
 /// Wraps a table: adapts the timeouts of commits to measured response times, and tracks whether the table
-/// can be reached.
+/// is reachable.
 #pragma once
 
 #include <damaskworks/clock.h>
--- a/src/libfleet/caller_service.cpp
+++ b/src/libfleet/caller_service.cpp
@@ -10,7 +10,7 @@
 constexpr milliseconds defaultDeadline { 3000 };
 /// Part of the deadline that is left for the response to reach the caller.
 constexpr milliseconds responseMargin { 150 };
-/// Timeout of one transaction; a slow table answers within about 0.6 s.
+/// Timeout of one transaction; a slow table responds within about 0.6 s.
 constexpr milliseconds maxAttemptTimeout { 900 };
 /// The platform's interface allows counts of queued jobs to be this old.
 constexpr milliseconds maxCountAge { 2000 };
@@ -19,7 +19,7 @@
 constexpr milliseconds retryBackoff { 60 }; ///< times the number of attempts so far
 constexpr milliseconds maxRetryBackoff { 400 };
 /// The service refuses a submission after the table has refused this many attempts. One retry covers a
-/// transient refusal; more would only delay the answer.
+/// transient refusal; more would only delay the response.
 constexpr int maxRefusedAttempts = 2;
 
 std::string errorBody(std::string_view text) { return "{\"error\":\"" + std::string(text) + "\"}"; }
@@ -172,12 +172,13 @@
         return reply(
             call, call->mayHaveCommitted ? 504 : 503, errorBody("the job can't be stored"), "invalid_row");
     call->mayHaveCommitted = call->mayHaveCommitted || result.error() == TableFailure::Unknown;
-    const bool isTableLost = isUnreachable(m_context.tableContact, m_context.clock.now());
-    const bool isRefused = !call->mayHaveCommitted && (call->attempts >= maxRefusedAttempts || isTableLost);
+    const bool isTableUnreachable = isUnreachable(m_context.tableContact, m_context.clock.now());
+    const bool isRefused
+        = !call->mayHaveCommitted && (call->attempts >= maxRefusedAttempts || isTableUnreachable);
     if (isRefused)
         return reply(call, 503, errorBody("the table does not take the job"), "not_accepted");
     // This node can't find out whether the job was accepted; another node can.
-    if (!hasTimeLeft(*call) || isTableLost)
+    if (!hasTimeLeft(*call) || isTableUnreachable)
         return reply(call, call->mayHaveCommitted ? 504 : 503, errorBody("the job may have been accepted"),
             "outcome_unknown");
     retry(call, &CallerService::commitJob);
--- a/src/libfleet/caller_service_test.cpp
+++ b/src/libfleet/caller_service_test.cpp
@@ -1,4 +1,4 @@
-/// Answers to callers while the table is unreachable, overloaded or slow.
+/// Responses to callers while the table is unreachable, overloaded or slow.
 #include "fakes_test.h"
 
 #include <damaskworks/caller_service.h>
@@ -21,15 +21,15 @@
         m_request.headers = { { "Host", "shop.example" } };
     }
     const HttpRequest& request() const override { return m_request; }
-    void reply(HttpResponse response) override { answer = std::move(response); }
+    void reply(HttpResponse response) override { sentResponse = std::move(response); }
     void startStream(int, HttpHeaders) override { }
     void sendChunk(std::string_view) override { }
     std::size_t unsentBytes() const override { return 0; }
     void endStream() override { }
-    bool isOpen() const override { return !answer; }
+    bool isOpen() const override { return !sentResponse; }
     void onCallerDisconnected(std::function<void()>) override { }
 
-    std::optional<HttpResponse> answer;
+    std::optional<HttpResponse> sentResponse;
 
 private:
     HttpRequest m_request;
@@ -101,8 +101,8 @@
     {
         auto exchange = std::make_shared<FakeExchange>(id);
         service.handle(exchange);
-        loop.runUntil([&] { return exchange->answer.has_value(); }, 10s);
-        BOOST_REQUIRE(exchange->answer);
+        loop.runUntil([&] { return exchange->sentResponse.has_value(); }, 10s);
+        BOOST_REQUIRE(exchange->sentResponse);
         return exchange;
     }
 
@@ -122,34 +122,34 @@
     for (int i = 0; i < 3; ++i)
         recordFailedContact(contact);
     const auto exchange = submit("a1");
-    BOOST_TEST(exchange->answer->status == 503);
-    BOOST_TEST(http::header(exchange->answer->headers, "Retry-After").value_or("") == "1");
+    BOOST_TEST(exchange->sentResponse->status == 503);
+    BOOST_TEST(http::header(exchange->sentResponse->headers, "Retry-After").value_or("") == "1");
     BOOST_TEST(!isStored("a1"));
     clock.advance(3s);
-    BOOST_TEST(http::header(submit("a2")->answer->headers, "Retry-After").value_or("") == "2");
-    // After one answer of the table, to any call, the service accepts submissions again.
+    BOOST_TEST(http::header(submit("a2")->sentResponse->headers, "Retry-After").value_or("") == "2");
+    // After one response of the table, to any call, the service accepts submissions again.
     recordContact(contact, clock.now());
-    BOOST_TEST(submit("a3")->answer->status == 200);
+    BOOST_TEST(submit("a3")->sentResponse->status == 200);
     BOOST_TEST(isStored("a3"));
 }
 
 BOOST_AUTO_TEST_CASE(submissionThatMayBeStoredIsAnsweredAsUnknown)
 {
-    // Callers of a node that had lost the table waited 2.8 s for this answer.
+    // Callers of a node that had lost the table waited 2.8 s for this response.
     fakeTable->faults.assign(20, CommitFault::Delayed);
     auto exchange = std::make_shared<FakeExchange>("a1");
     service.handle(exchange);
     BOOST_REQUIRE(loop.runUntil([&] { return fakeTable->faults.size() <= 18; }, 10s));
-    BOOST_TEST(!exchange->answer);
-    clock.advance(1500ms); // no call has been answered since
-    BOOST_REQUIRE(loop.runUntil([&] { return exchange->answer.has_value(); }, 10s));
-    BOOST_TEST(exchange->answer->status == 504);
+    BOOST_TEST(!exchange->sentResponse);
+    clock.advance(1500ms); // no call has got a response since
+    BOOST_REQUIRE(loop.runUntil([&] { return exchange->sentResponse.has_value(); }, 10s));
+    BOOST_TEST(exchange->sentResponse->status == 504);
     BOOST_TEST(fakeTable->applyDelayed() == 1);
     BOOST_TEST(isStored("a1"));
     // The caller repeats the submission; the table still holds one job.
     fakeTable->faults.clear();
     recordContact(contact, clock.now());
-    BOOST_TEST(submit("a1")->answer->status == 200);
+    BOOST_TEST(submit("a1")->sentResponse->status == 200);
     BOOST_TEST(fakeTable->rows(std::string(jobTable)).size() == 1u);
 }
 
@@ -157,33 +157,33 @@
 {
     // When all nodes restarted at once, their reads overloaded the table.
     fakeTable->faults.assign(4, CommitFault::Overloaded);
-    BOOST_TEST(submit("a1")->answer->status == 503);
-    BOOST_TEST(submit("a2")->answer->status == 503);
+    BOOST_TEST(submit("a1")->sentResponse->status == 503);
+    BOOST_TEST(submit("a2")->sentResponse->status == 503);
     BOOST_TEST(contact.failures == 0);
     BOOST_TEST(looksReachable(contact, clock.now()));
 }
 
-BOOST_AUTO_TEST_CASE(slowTableOrLostAnswersStillCountAsReachable)
+BOOST_AUTO_TEST_CASE(slowTableOrLostResponsesStillCountAsReachable)
 {
-    // When a third of the answers to writes were lost for 4.5 s, all nodes in turn became unready and refused
-    // callers, although the table accepted every job.
-    for (const auto fault : { CommitFault::Delayed, CommitFault::AnswerLost }) {
+    // When a third of the responses to writes were lost for 4.5 s, all nodes in turn became unready and
+    // refused callers, although the table accepted every job.
+    for (const auto fault : { CommitFault::Delayed, CommitFault::ResponseLost }) {
         fakeTable->faults.assign(3, fault);
-        int answeredCommits = 0;
+        int completedCommits = 0;
         for (int i = 0; i < 3; ++i)
-            table.commit({ "part", {}, {} }, 900ms, [&](const TableResult<Version>&) { ++answeredCommits; });
+            table.commit({ "part", {}, {} }, 900ms, [&](const TableResult<Version>&) { ++completedCommits; });
         clock.advance(500ms);
-        BOOST_REQUIRE(loop.runUntil([&] { return answeredCommits == 3; }, 10s));
+        BOOST_REQUIRE(loop.runUntil([&] { return completedCommits == 3; }, 10s));
         BOOST_TEST(looksReachable(contact, clock.now()));
         BOOST_TEST(!isUnreachable(contact, clock.now()));
     }
-    BOOST_TEST(submit("a1")->answer->status == 200);
+    BOOST_TEST(submit("a1")->sentResponse->status == 200);
 }
 
-BOOST_AUTO_TEST_CASE(submissionIsRetriedAfterLostAnswer)
+BOOST_AUTO_TEST_CASE(submissionIsRetriedAfterLostResponse)
 {
-    fakeTable->faults = { CommitFault::AnswerLost };
-    BOOST_TEST(submit("a1")->answer->status == 200);
+    fakeTable->faults = { CommitFault::ResponseLost };
+    BOOST_TEST(submit("a1")->sentResponse->status == 200);
     BOOST_TEST(isStored("a1"));
 }
 
--- a/src/libfleet/fakes_test.h
+++ b/src/libfleet/fakes_test.h
@@ -15,17 +15,17 @@
 /// Fault injected into a commit.
 enum class CommitFault {
     None,
-    Refused, ///< not applied; the answer is TableFailure::NotApplied
-    AnswerLost, ///< applied; the answer is TableFailure::Unknown
-    Delayed, ///< the answer is TableFailure::Unknown; applyDelayed() applies the commit later
-    Overloaded, ///< not applied; the answer is TableFailure::Overloaded
+    Refused, ///< not applied; the response is TableFailure::NotApplied
+    ResponseLost, ///< applied; the response is TableFailure::Unknown
+    Delayed, ///< the response is TableFailure::Unknown; applyDelayed() applies the commit later
+    Overloaded, ///< not applied; the response is TableFailure::Overloaded
 };
 
-/// In-memory table. It answers on the next iteration of the loop.
+/// In-memory table. It responds on the next iteration of the loop.
 class FakeTable final : public SharedTable {
 public:
     explicit FakeTable(event_base* base)
-        : m_timer(base, [this] { sendAnswers(); })
+        : m_timer(base, [this] { sendResponses(); })
     {
     }
 
@@ -42,16 +42,16 @@
             faults.pop_front();
         if (fault == CommitFault::Delayed) {
             m_delayed.push_back(transaction);
-            return postAnswer([callback] { callback(tl::make_unexpected(TableFailure::Unknown)); });
+            return postResponse([callback] { callback(tl::make_unexpected(TableFailure::Unknown)); });
         }
         if (fault == CommitFault::Refused)
-            return postAnswer([callback] { callback(tl::make_unexpected(TableFailure::NotApplied)); });
+            return postResponse([callback] { callback(tl::make_unexpected(TableFailure::NotApplied)); });
         if (fault == CommitFault::Overloaded)
-            return postAnswer([callback] { callback(tl::make_unexpected(TableFailure::Overloaded)); });
+            return postResponse([callback] { callback(tl::make_unexpected(TableFailure::Overloaded)); });
         auto result = apply(transaction);
-        if (fault == CommitFault::AnswerLost)
+        if (fault == CommitFault::ResponseLost)
             result = tl::make_unexpected(TableFailure::Unknown);
-        postAnswer([callback, result] { callback(result); });
+        postResponse([callback, result] { callback(result); });
     }
 
     void read(const std::string& table, const std::string& part, const std::string& from, int limit,
@@ -60,7 +60,7 @@
         maxOpenReads = std::max(maxOpenReads, ++m_openReads);
         if (readsToFail > 0) {
             --readsToFail;
-            return postAnswer([this, callback] {
+            return postResponse([this, callback] {
                 --m_openReads;
                 callback(tl::make_unexpected(TableFailure::NotApplied));
             });
@@ -74,7 +74,7 @@
                 break;
             out.rows.push_back(row);
         }
-        postAnswer([this, callback, out] {
+        postResponse([this, callback, out] {
             --m_openReads;
             callback(out);
         });
@@ -88,7 +88,7 @@
             if (std::get<0>(key) == table)
                 names.insert(row.part);
         }
-        postAnswer([callback, names] { callback(std::vector<std::string>(names.begin(), names.end())); });
+        postResponse([callback, names] { callback(std::vector<std::string>(names.begin(), names.end())); });
     }
 
     void follow(const std::string&, Version, std::chrono::milliseconds, TableCallback<TableRows>) override { }
@@ -142,16 +142,16 @@
         return m_version;
     }
 
-    void postAnswer(std::function<void()> callback)
+    void postResponse(std::function<void()> callback)
     {
-        m_answers.push_back(std::move(callback));
+        m_responses.push_back(std::move(callback));
         m_timer.startOnce(std::chrono::microseconds(1));
     }
 
-    void sendAnswers()
+    void sendResponses()
     {
-        auto answers = std::exchange(m_answers, {});
-        for (auto& callback : answers)
+        auto responses = std::exchange(m_responses, {});
+        for (auto& callback : responses)
             callback();
     }
 
@@ -159,7 +159,7 @@
     int m_openReads = 0;
     std::map<std::tuple<std::string, std::string, std::string>, TableRow> m_rows;
     std::vector<TableTransaction> m_delayed;
-    std::deque<std::function<void()>> m_answers;
+    std::deque<std::function<void()>> m_responses;
     Timer m_timer;
 };
 
--- a/src/libfleet/fleet_node.cpp
+++ b/src/libfleet/fleet_node.cpp
@@ -17,13 +17,13 @@
 /// Pause for leases and VM registrations, which change every few hundred milliseconds. Reading several
 /// changes at once does no harm.
 constexpr milliseconds controlTablePause { 250 };
-/// A holder starts no tasks if the job table has not answered for this long. Requests for changes return
+/// A holder starts no tasks if the job table has not responded for this long. Requests for changes return
 /// within 1 s, and a cancelled job's tasks must not start 3 s after the cancellation.
 constexpr milliseconds maxDirectoryAge { 2000 };
 constexpr milliseconds tickInterval { 250 };
-/// A node without an answer from the table for this long is not ready for callers.
+/// A node without a response from the table for this long is not ready for callers.
 constexpr milliseconds maxContactAgeToServe { 2500 };
-/// A node without an answer from the table for this long acquires no leases.
+/// A node without a response from the table for this long acquires no leases.
 constexpr milliseconds maxContactAgeToAcquire { 1500 };
 /// Time until the balancer sends no more callers to a stopping node. The balancer probes readiness once a
 /// second and removes a node after two failed probes; the rest allows for its own delay.
@@ -185,7 +185,7 @@
         return;
     }
     if (m_config && config->version <= m_config->version)
-        return; // a delayed answer must not restore an older configuration
+        return; // a delayed response must not restore an older configuration
     m_config = std::make_shared<const FleetConfig>(std::move(*config));
     logEvent(LogLevel::Info, "config_applied",
         { { "version", std::to_string(m_config->version) },
@@ -337,7 +337,7 @@
             { "table_failures", std::to_string(m_tableContact.failures) },
             { "table_silent_ms",
                 std::to_string(
-                    std::chrono::duration_cast<milliseconds>(m_clock.now() - m_tableContact.lastAnswer)
+                    std::chrono::duration_cast<milliseconds>(m_clock.now() - m_tableContact.lastResponse)
                         .count()) } });
 }
 
--- a/src/libfleet/job_progress.cpp
+++ b/src/libfleet/job_progress.cpp
@@ -18,7 +18,7 @@
     }
     if (!isFinal(job.state))
         writes.push_back({ std::string(progressTable), id, encodeProgress(job) });
-    else if (job.begun)
+    else if (job.hasRecord)
         writes.push_back({ std::string(progressTable), id, std::nullopt });
 }
 
--- a/src/libfleet/job_progress_test.cpp
+++ b/src/libfleet/job_progress_test.cpp
@@ -25,7 +25,7 @@
 
 BOOST_AUTO_TEST_CASE(taskProgressIsWrittenOnlyToTheProgressTable)
 {
-    // Every node follows the job table. When task completions were written there, peak load saturated the
+    // Every node follows the job table. When ends of tasks were written there, peak load saturated the
     // links of the smallest nodes, and their callers saw jobs end half a second late.
     auto job = entry(JobState::Running);
     std::vector<TableWrite> writes;
@@ -42,7 +42,7 @@
 BOOST_AUTO_TEST_CASE(endOfJobDeletesItsProgressRow)
 {
     auto job = entry(JobState::Completed);
-    job.begun = true;
+    job.hasRecord = true;
     std::vector<TableWrite> writes;
     appendProgress(job, writes);
     BOOST_REQUIRE(writes.size() == 2u);
--- a/src/libfleet/machine_coordinator.cpp
+++ b/src/libfleet/machine_coordinator.cpp
@@ -13,7 +13,7 @@
 /// usually arrive earlier than the list; only the list shows machines that are off.
 constexpr milliseconds busyListInterval { 700 };
 constexpr milliseconds idleListInterval { 5000 };
-constexpr milliseconds orderRetryInterval { 400 };
+constexpr milliseconds commandRetryInterval { 400 };
 constexpr milliseconds statusTimeout { 1000 };
 /// Transaction entries besides the coordinator's rows: the expectation on the lease row.
 constexpr std::size_t reservedEntries = 1;
@@ -137,7 +137,7 @@
         return;
     finishTasks();
     beginTasks(now);
-    sendOrders(now);
+    sendCommands(now);
     reportWaves();
 }
 
@@ -167,9 +167,9 @@
     std::map<std::string, Machine> listed;
     for (auto& machine : machines) {
         const auto id = machine.id;
-        // A list requested before an order was accepted may show the machine's earlier state.
-        const auto ordered = m_orderAcceptedAt.find(id);
-        const bool isStale = ordered != m_orderAcceptedAt.end() && ordered->second >= m_listRequestedAt;
+        // A list requested before a command was accepted may show the machine's earlier state.
+        const auto accepted = m_commandAcceptedAt.find(id);
+        const bool isStale = accepted != m_commandAcceptedAt.end() && accepted->second >= m_listRequestedAt;
         // The platform may still report a machine as up after its VM has crashed.
         if (machine.state == MachineState::Up && m_unregisteredVms.contains(machine.vm))
             machine.state = MachineState::Down;
@@ -177,21 +177,21 @@
     }
     m_state.machines = std::move(listed);
     m_hasMachineList = true;
-    detectRepeatedOrders();
+    detectRepeatedCommands();
 }
 
-void MachineCoordinator::detectRepeatedOrders()
+void MachineCoordinator::detectRepeatedCommands()
 {
     for (auto& [id, task] : m_state.tasks) {
         const auto machine = m_state.machines.find(id);
-        const auto ordered = m_orderAcceptedAt.find(id);
-        const bool listedAfterOrder
-            = ordered != m_orderAcceptedAt.end() && ordered->second < m_listRequestedAt;
-        if (task.state != MachineTaskState::Ordered || task.oldVm.empty() || !listedAfterOrder
+        const auto accepted = m_commandAcceptedAt.find(id);
+        const bool isListedAfterCommand
+            = accepted != m_commandAcceptedAt.end() && accepted->second < m_listRequestedAt;
+        if (task.state != MachineTaskState::Ordered || task.oldVm.empty() || !isListedAfterCommand
             || machine == m_state.machines.end() || machine->second.state != MachineState::Up
             || machine->second.vm != task.oldVm)
             continue;
-        // The platform accepts a repeated order that it has already carried out, and does nothing.
+        // The platform accepts a repeated command that it has already carried out, and does nothing.
         task.oldVm.clear();
         m_changedTasks.insert(id);
         m_ledger.markDirty();
@@ -220,25 +220,25 @@
     m_state.tasks.emplace(machine, std::move(task));
 }
 
-void MachineCoordinator::sendOrders(TimePoint now)
+void MachineCoordinator::sendCommands(TimePoint now)
 {
     for (const auto& [id, task] : m_state.tasks) {
         const auto committed = m_committedTasks.find(id);
         if (committed == m_committedTasks.end() || committed->second != encodeTask(task)
-            || m_ordersInFlight.contains(id))
+            || m_commandsInFlight.contains(id))
             continue;
-        if (mayOrder(m_state, task) && now >= m_nextOrderAt[id])
-            sendOrder(task);
+        if (maySendCommand(m_state, task) && now >= m_nextCommandAt[id])
+            sendCommand(task);
     }
 }
 
-void MachineCoordinator::sendOrder(const MachineTask& task)
+void MachineCoordinator::sendCommand(const MachineTask& task)
 {
     const auto machine = task.machine;
-    m_ordersInFlight.insert(machine);
+    m_commandsInFlight.insert(machine);
     auto done = [this, machine, alive = m_alive](CommandOutcome outcome) {
         if (*alive && !m_ended)
-            onOrderOutcome(machine, outcome);
+            onCommandOutcome(machine, outcome);
     };
     if (task.action == MachineAction::Maintain)
         m_context.machines.startMaintenance(machine, task.wave, m_ledger.fencingToken(), done);
@@ -246,10 +246,10 @@
         m_context.machines.move(machine, task.toPool, m_ledger.fencingToken(), done);
 }
 
-void MachineCoordinator::onOrderOutcome(const std::string& machine, CommandOutcome outcome)
+void MachineCoordinator::onCommandOutcome(const std::string& machine, CommandOutcome outcome)
 {
-    m_ordersInFlight.erase(machine);
-    m_nextOrderAt[machine] = m_context.clock.now() + orderRetryInterval;
+    m_commandsInFlight.erase(machine);
+    m_nextCommandAt[machine] = m_context.clock.now() + commandRetryInterval;
     auto found = m_state.tasks.find(machine);
     logEvent(LogLevel::Info, "machine_order",
         { { "machine", machine }, { "outcome", std::string(nameOf(commandOutcomeNames, outcome)) },
@@ -268,7 +268,7 @@
     }
     if (outcome != CommandOutcome::Accepted)
         return;
-    m_orderAcceptedAt[machine] = m_context.clock.now();
+    m_commandAcceptedAt[machine] = m_context.clock.now();
     found->second.state = MachineTaskState::Ordered;
     auto& known = m_state.machines[machine];
     known.state
@@ -283,7 +283,7 @@
     for (auto it = m_state.tasks.begin(); it != m_state.tasks.end();) {
         const auto& task = it->second;
         const auto committed = m_committedTasks.find(it->first);
-        const bool isTaskAbandoned = isAbandoned(m_state, task) && !m_ordersInFlight.contains(it->first);
+        const bool isTaskAbandoned = isAbandoned(m_state, task) && !m_commandsInFlight.contains(it->first);
         if (committed == m_committedTasks.end() || committed->second != encodeTask(task)
             || !(hasMachineReturned(m_state, task) || isTaskAbandoned)) {
             ++it;
--- a/src/libfleet/machine_coordinator_test.cpp
+++ b/src/libfleet/machine_coordinator_test.cpp
@@ -12,24 +12,24 @@
 
 namespace {
 
-/// In-memory machines. Each order takes effect at once: the machine has a new VM.
+/// In-memory machines. Each command takes effect at once: the machine has a new VM.
 class FakeMachines final : public MachineControl {
 public:
     explicit FakeMachines(event_base* base)
-        : m_timer(base, [this] { sendAnswers(); })
+        : m_timer(base, [this] { sendResponses(); })
     {
     }
 
     std::map<std::string, Machine> machines;
-    int maintenanceOrders = 0;
-    bool ignoresOrders = false; ///< accepts maintenance orders without effect
+    int maintenanceCommands = 0;
+    bool ignoresCommands = false; ///< accepts maintenance commands without effect
 
     void list(std::function<void(tl::expected<std::vector<Machine>, CommandOutcome>)> callback) override
     {
         std::vector<Machine> out;
         for (const auto& [id, machine] : machines)
             out.push_back(machine);
-        postAnswer([callback, out] { callback(out); });
+        postResponse([callback, out] { callback(out); });
     }
 
     void move(const std::string& machine, const std::string& pool, std::uint64_t,
@@ -37,32 +37,32 @@
     {
         machines[machine].pool = pool;
         machines[machine].vm += "'";
-        postAnswer([callback] { callback(CommandOutcome::Accepted); });
+        postResponse([callback] { callback(CommandOutcome::Accepted); });
     }
 
     void startMaintenance(const std::string& machine, std::int64_t, std::uint64_t,
         EndpointControl::CommandCallback callback) override
     {
-        ++maintenanceOrders;
-        if (!ignoresOrders)
+        ++maintenanceCommands;
+        if (!ignoresCommands)
             machines[machine].vm += "'";
-        postAnswer([callback] { callback(CommandOutcome::Accepted); });
+        postResponse([callback] { callback(CommandOutcome::Accepted); });
     }
 
 private:
-    void postAnswer(std::function<void()> callback)
+    void postResponse(std::function<void()> callback)
     {
-        m_answers.push_back(std::move(callback));
+        m_responses.push_back(std::move(callback));
         m_timer.startOnce(std::chrono::microseconds(1));
     }
 
-    void sendAnswers()
+    void sendResponses()
     {
-        for (auto& callback : std::exchange(m_answers, {}))
+        for (auto& callback : std::exchange(m_responses, {}))
             callback();
     }
 
-    std::deque<std::function<void()>> m_answers;
+    std::deque<std::function<void()>> m_responses;
     Timer m_timer;
 };
 
@@ -121,17 +121,18 @@
     }
     begin();
     BOOST_TEST(loop.runUntil([&] { return isReportedDone(); }, 20s));
-    BOOST_TEST(machines.maintenanceOrders == count);
+    BOOST_TEST(machines.maintenanceCommands == count);
     BOOST_TEST(table.largestTransaction <= maxTransactionEntries);
 }
 
 BOOST_FIXTURE_TEST_CASE(maintenanceThatAnEarlierCoordinatorHadDoneCounts, CoordinatorFixture)
 {
-    // A coordinator failed between sending an order and recording it (soak test, seed 122). The platform
-    // accepted the next coordinator's order without effect, and that coordinator waited forever for a new VM.
+    // A coordinator failed between sending a command and recording it (soak test, seed 122). The platform
+    // accepted the next coordinator's command without effect, and that coordinator waited forever for a new
+    // VM.
     config.pools["a"] = { "a", false, false };
     machines.machines["m1"] = { "m1", "a", MachineState::Up, "vm-2" };
-    machines.ignoresOrders = true;
+    machines.ignoresCommands = true;
     wave.machines = { "m1" };
     begin();
     PoolLoad load; // shows the machine as empty for this coordinator's first task
--- a/src/libfleet/pool_election_test.cpp
+++ b/src/libfleet/pool_election_test.cpp
@@ -78,7 +78,7 @@
 BOOST_AUTO_TEST_CASE(poolAcquiredByAnotherNodeDelaysNoOtherPool)
 {
     // Six large nodes competed for one pool after the other, 0.4 s each, until a node with a 10 Mbit/s link
-    // acquired the last one. Its link was too slow for the pool's orders from then on.
+    // acquired the last one. Its link was too slow for the pool's commands from then on.
     Nodes fleet({ { 0.5, 200 }, { 0.12, 10 } });
     fleet.followTimer.stop();
     const std::set<std::string> poolsOfOtherNode { "a", "b", "c", "d" };
--- a/src/libfleet/pool_holder.cpp
+++ b/src/libfleet/pool_holder.cpp
@@ -17,8 +17,8 @@
 constexpr milliseconds loadLogInterval { 1000 };
 /// Transaction entries besides the writes: the expectation on the lease row.
 constexpr std::size_t reservedEntries = 1;
-/// Added to the longest VM lease after a takeover. Covers the previous holder's last order, rounding and the
-/// drift of the VMs' clocks.
+/// Added to the longest VM lease after a takeover. Covers the previous holder's last command, rounding and
+/// the drift of the VMs' clocks.
 constexpr milliseconds takeoverMargin { 300 };
 
 } // namespace
@@ -141,7 +141,8 @@
 {
     const auto id = job.id;
     auto progress = m_earlierProgress->extract(id);
-    // A state without progress means that the earlier holder had not begun the job, or had recorded its end.
+    // A state without progress means that the earlier holder had not started the job, or had recorded its
+    // end.
     std::string progressText = progress ? std::move(progress.mapped())
         : record.hasStateRow            ? encodeState(record.state)
                                         : "";
@@ -179,8 +180,8 @@
 void PoolHolder::applyEvacuation(VmState& vm) const
 {
     const auto found = m_evacuations.find(vm.entry.machine);
-    vm.evacuating = found != m_evacuations.end();
-    vm.evacuationTask = vm.evacuating ? found->second : "";
+    vm.isEvacuating = found != m_evacuations.end();
+    vm.evacuationTask = vm.isEvacuating ? found->second : "";
 }
 
 void PoolHolder::setEvacuations(const std::map<std::string, std::string>& machines)
@@ -230,7 +231,7 @@
         sendStarts(now);
         m_advisor.requestNext();
     }
-    sendHolds(now);
+    sendHeartbeats(now);
     removeEndedJobs();
     markDirtyIfNeeded();
     publishLoad(now);
@@ -299,11 +300,11 @@
         m_jobsInTransaction.insert(id);
         job.dirty = false;
     }
-    // Completions are durable only once every job that they changed is written.
+    // Ends of runs are durable only once every job that they changed is written.
     if (isComplete) {
         for (const auto& [name, vm] : m_state.vms) {
             if (vm.applied > vm.acknowledged)
-                batch.completions.emplace(name, DurableCompletions { vm.bootTime, vm.applied });
+                batch.ends.emplace(name, DurableEnds { vm.bootTime, vm.applied });
         }
     }
     return batch;
@@ -312,16 +313,16 @@
 void PoolHolder::onCommitted(const LedgerBatch& batch)
 {
     m_jobsInTransaction.clear();
-    for (const auto& [name, completions] : batch.completions) {
+    for (const auto& [name, ends] : batch.ends) {
         auto found = m_state.vms.find(name);
-        if (found != m_state.vms.end() && found->second.bootTime == completions.bootTime)
-            found->second.acknowledged = std::max(found->second.acknowledged, completions.lastNumber);
+        if (found != m_state.vms.end() && found->second.bootTime == ends.bootTime)
+            found->second.acknowledged = std::max(found->second.acknowledged, ends.lastNumber);
     }
     for (const auto& id : batch.jobs) {
         const auto found = m_state.jobs.find(id);
         if (found == m_state.jobs.end())
             continue;
-        found->second.begun = true;
+        found->second.hasRecord = true;
         if (isFinal(found->second.state) && !found->second.dirty)
             recordJobEnd(found->second);
     }
--- a/src/libfleet/pool_holder_calls.cpp
+++ b/src/libfleet/pool_holder_calls.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The pool holder's requests to the VMs of its pool, and the handling of their answers.
+/// The pool holder's requests to the VMs of its pool, and the handling of their responses.
 #include <damaskworks/log.h>
 #include <damaskworks/pool_holder.h>
 #include <damaskworks/pool_plan.h>
@@ -7,9 +7,9 @@
 namespace damask::fleet {
 namespace {
 
-/// Delay after a hold request without an answer, and between hold requests that return at once.
-constexpr milliseconds holdRetryDelay { 200 };
-/// Longest delay of a hold request, and so of the VM's lease renewal, while completions become durable. A
+/// Delay after a heartbeat without a response, and between heartbeats that return at once.
+constexpr milliseconds heartbeatRetryDelay { 200 };
+/// Longest delay of a heartbeat, and so of the VM's lease renewal, while ends of runs become durable. A
 /// VM's lease lasts several times as long.
 constexpr milliseconds maxAckDelay { 300 };
 
@@ -20,7 +20,7 @@
     return { vm.entry.address, vm.entry.id, m_ledger.fencingToken() };
 }
 
-void PoolHolder::handleOrderOutcome(const std::string& vm, CommandOutcome outcome)
+void PoolHolder::handleCommandOutcome(const std::string& vm, CommandOutcome outcome)
 {
     if (outcome == CommandOutcome::Superseded) {
         logEvent(LogLevel::Warning, "order_superseded",
@@ -32,7 +32,7 @@
         auto found = m_state.vms.find(vm);
         if (found == m_state.vms.end())
             return;
-        found->second.listed = false;
+        found->second.isRegistered = false;
         found->second.isUnresponsive = true;
         found->second.leaseUntil = milliseconds(0);
     }
@@ -48,7 +48,7 @@
             makeTarget(vm), stop.task, stop.run, [this, stop, alive = m_alive](CommandOutcome outcome) {
                 if (!*alive || m_ended)
                     return;
-                handleOrderOutcome(stop.vm, outcome);
+                handleCommandOutcome(stop.vm, outcome);
                 applyStopOutcome(m_state, stop.vm, stop.task, stop.run, outcome, m_context.clock.now());
                 scheduleReconcile(reconcileDelay);
             });
@@ -80,48 +80,49 @@
         { { "task", toString(start.command.task) }, { "run", std::to_string(start.command.run) },
             { "vm", start.vm }, { "fence", std::to_string(m_ledger.fencingToken()) },
             { "outcome", std::string(nameOf(commandOutcomeNames, outcome)) } });
-    handleOrderOutcome(start.vm, outcome);
+    handleCommandOutcome(start.vm, outcome);
     applyStartOutcome(m_state, start.vm, start.command.task, start.command.run, outcome, now);
     if (outcome != CommandOutcome::Accepted)
         scheduleReconcile(reconcileDelay);
 }
 
-bool PoolHolder::needsHold(const VmState& vm, HoldState& holdState, TimePoint now)
+bool PoolHolder::needsHeartbeat(const VmState& vm, HeartbeatState& heartbeatState, TimePoint now)
 {
-    if (holdState.isInFlight)
+    if (heartbeatState.isInFlight)
         return false;
-    const bool hasUnsentAck = vm.applied > holdState.lastAckSent;
+    const bool hasUnsentAck = vm.applied > heartbeatState.lastAckSent;
     if (vm.hasReported && vm.runs.empty() && vm.orphanRuns.empty() && !hasUnsentAck && !vm.isUnresponsive)
         return false;
-    if (now < holdState.nextHoldAt)
+    if (now < heartbeatState.nextHeartbeatAt)
         return false;
-    // The next request waits until the completions that the last one returned are durable, so that it can
+    // The next heartbeat waits until the ends that the last one returned are durable, so that it can
     // acknowledge them.
     if (vm.applied <= vm.acknowledged)
         return true;
-    if (holdState.ackPendingSince == TimePoint {})
-        holdState.ackPendingSince = now;
-    return now - holdState.ackPendingSince >= maxAckDelay;
+    if (heartbeatState.ackPendingSince == TimePoint {})
+        heartbeatState.ackPendingSince = now;
+    return now - heartbeatState.ackPendingSince >= maxAckDelay;
 }
 
-void PoolHolder::sendHolds(TimePoint now)
+void PoolHolder::sendHeartbeats(TimePoint now)
 {
     for (auto& [name, vm] : m_state.vms) {
-        auto& holdState = m_holdStates[name];
-        if (needsHold(vm, holdState, now))
-            sendHold(name, vm, holdState, now);
+        auto& heartbeatState = m_heartbeatStates[name];
+        if (needsHeartbeat(vm, heartbeatState, now))
+            sendHeartbeat(name, vm, heartbeatState, now);
     }
-    std::erase_if(m_holdStates, [&](const auto& holdState) {
-        return !m_state.vms.contains(holdState.first) && !holdState.second.isInFlight;
+    std::erase_if(m_heartbeatStates, [&](const auto& heartbeatState) {
+        return !m_state.vms.contains(heartbeatState.first) && !heartbeatState.second.isInFlight;
     });
 }
 
-void PoolHolder::sendHold(const std::string& name, VmState& vm, HoldState& holdState, TimePoint now)
+void PoolHolder::sendHeartbeat(
+    const std::string& name, VmState& vm, HeartbeatState& heartbeatState, TimePoint now)
 {
     const auto command = planHeartbeat(vm, m_state.limits, now);
-    holdState.isInFlight = true;
-    holdState.ackPendingSince = TimePoint {};
-    holdState.lastAckSent = vm.acknowledged;
+    heartbeatState.isInFlight = true;
+    heartbeatState.ackPendingSince = TimePoint {};
+    heartbeatState.lastAckSent = vm.acknowledged;
     m_context.metrics.count("vm_holds_total{pool=\"" + m_state.pool + "\"}");
     m_context.endpoints.heartbeat(makeTarget(vm), command,
         [this, name, now, alive = m_alive](tl::expected<VmReport, CommandOutcome> report) {
@@ -134,8 +135,8 @@
     const std::string& name, tl::expected<VmReport, CommandOutcome> report, TimePoint sentAt)
 {
     const auto now = m_context.clock.now();
-    auto& holdState = m_holdStates[name];
-    holdState.isInFlight = false;
+    auto& heartbeatState = m_heartbeatStates[name];
+    heartbeatState.isInFlight = false;
     auto found = m_state.vms.find(name);
     if (found == m_state.vms.end())
         return;
@@ -147,9 +148,9 @@
                     { "outcome", std::string(nameOf(commandOutcomeNames, report.error())) },
                     { "runs", std::to_string(vm.runs.size()) } });
         markUnresponsive(m_state, name);
-        handleOrderOutcome(name, report.error());
-        holdState.nextHoldAt = now + holdRetryDelay;
-        return scheduleReconcile(holdRetryDelay);
+        handleCommandOutcome(name, report.error());
+        heartbeatState.nextHeartbeatAt = now + heartbeatRetryDelay;
+        return scheduleReconcile(heartbeatRetryDelay);
     }
     if (vm.isUnresponsive)
         logEvent(LogLevel::Info, "vm_back", { { "vm", name }, { "pool", m_state.pool } });
@@ -157,7 +158,7 @@
     const bool isRebooted = vm.hasReported && vm.bootTime != report->bootTime;
     applyReport(m_state, name, *report, sentAt, now);
     if (isRebooted)
-        holdState.lastAckSent = 0;
+        heartbeatState.lastAckSent = 0;
     for (const auto& end : report->ended) {
         if (end.number <= before && !isRebooted)
             continue;
@@ -165,16 +166,17 @@
             { { "task", toString(end.task) }, { "run", std::to_string(end.run) }, { "vm", name },
                 { "kind", std::string(nameOf(endKindNames, end.kind)) } });
     }
-    sendPaces(name, now);
+    sendThrottleCommands(name, now);
     if (vm.applied > vm.acknowledged)
         m_ledger.markDirty();
-    // The VM returns completions at once until they are acknowledged. While the ledger can't make them
+    // The VM returns ends at once until they are acknowledged. While the ledger can't make them
     // durable, a pause avoids a busy loop.
-    holdState.nextHoldAt = vm.applied == before && !report->ended.empty() ? now + holdRetryDelay : now;
+    heartbeatState.nextHeartbeatAt
+        = vm.applied == before && !report->ended.empty() ? now + heartbeatRetryDelay : now;
     scheduleReconcile(reconcileDelay);
 }
 
-void PoolHolder::sendPaces(const std::string& name, TimePoint now)
+void PoolHolder::sendThrottleCommands(const std::string& name, TimePoint now)
 {
     for (const auto& throttle : planThrottling(m_state, name, now)) {
         const auto& vm = m_state.vms.find(name)->second;
@@ -184,7 +186,7 @@
         m_context.endpoints.throttle(makeTarget(vm), throttle.task, throttle.run, throttle.percent,
             [this, name, alive = m_alive](CommandOutcome outcome) {
                 if (*alive && !m_ended)
-                    handleOrderOutcome(name, outcome);
+                    handleCommandOutcome(name, outcome);
             });
     }
 }
--- a/src/libfleet/pool_lease.cpp
+++ b/src/libfleet/pool_lease.cpp
@@ -16,7 +16,7 @@
 constexpr milliseconds maxJitter { 100 };
 /// Delay of a node with one core; a node with a tenth of a core waits ten times as long.
 constexpr milliseconds delayAtOneCore { 30 };
-/// Delay of a node with a link of 1 Mbit/s. On large sites a holder's orders and reports take several
+/// Delay of a node with a link of 1 Mbit/s. On large sites a holder's commands and reports take several
 /// Mbit/s, so a node with a 10 Mbit/s link should hold a pool only when no other node can.
 constexpr milliseconds delayAtOneMbps { 10000 };
 
--- a/src/libfleet/pool_lease_test.cpp
+++ b/src/libfleet/pool_lease_test.cpp
@@ -36,7 +36,7 @@
 
 BOOST_AUTO_TEST_CASE(largeNodesTryBeforeSmallOnes)
 {
-    // On a large site a node with a 10 Mbit/s link held the busiest pool, and its orders came seconds late.
+    // On a large site a node with a 10 Mbit/s link held the busiest pool, and its commands came seconds late.
     const NodeCapacity largeNode { 0.5, 200 };
     const NodeCapacity smallNode { 0.12, 10 };
     BOOST_TEST((electionDelay(3, largeNode, 1) < electionDelay(0, smallNode, 0)));
--- a/src/libfleet/pool_ledger.cpp
+++ b/src/libfleet/pool_ledger.cpp
@@ -9,9 +9,9 @@
 
 using std::chrono::milliseconds;
 
-/// A slow table answers within about 0.6 s.
+/// A slow table responds within about 0.6 s.
 constexpr milliseconds commitTimeout { 900 };
-/// Changes within this time go into one transaction, which then records the completions of several tasks.
+/// Changes within this time go into one transaction, which then records the ends of several runs.
 constexpr milliseconds batchDelay { 15 };
 constexpr milliseconds retryDelay { 100 };
 
@@ -142,9 +142,9 @@
 {
     auto batch = m_callbacks.collect();
     m_dirty = false;
-    if (batch.writes.empty() && batch.completions.empty())
+    if (batch.writes.empty() && batch.ends.empty())
         return sendNext();
-    if (batch.writes.empty()) { // completions that changed no job need no row
+    if (batch.writes.empty()) { // ends that changed no job need no row
         m_callbacks.committed(batch);
         return sendNext();
     }
@@ -199,7 +199,7 @@
             const auto lease = rows->rows.empty() ? std::nullopt : decodeLease(rows->rows.front().value);
             if (!lease || lease->session != m_lease.session || lease->node != m_lease.node)
                 return onLeaseLost();
-            // An earlier renewal by this node has committed although its answer was lost.
+            // An earlier renewal by this node has committed although its response was lost.
             m_leaseVersion = rows->rows.front().version;
             m_lease = *lease;
             m_nextRenewal = m_clock.now();
--- a/src/libfleet/pool_ledger_test.cpp
+++ b/src/libfleet/pool_ledger_test.cpp
@@ -1,4 +1,4 @@
-/// Transactions of a holder when commits fail, are delayed or lose their answer, and when another node
+/// Transactions of a holder when commits fail, are delayed or lose their response, and when another node
 /// acquires the lease.
 #include "fakes_test.h"
 
@@ -87,10 +87,10 @@
     BOOST_TEST(stored() == "second");
 }
 
-BOOST_AUTO_TEST_CASE(holderRecognisesItsRenewalAfterLostAnswer)
+BOOST_AUTO_TEST_CASE(holderRecognisesItsRenewalAfterLostResponse)
 {
-    // The write is delayed; then the renewal that invalidates it commits, but its answer is lost.
-    table.faults = { CommitFault::Delayed, CommitFault::AnswerLost };
+    // The write is delayed; then the renewal that invalidates it commits, but its response is lost.
+    table.faults = { CommitFault::Delayed, CommitFault::ResponseLost };
     write("second");
     BOOST_TEST(!lost);
     BOOST_TEST(stored() == "second");
--- a/src/libfleet/spec_reader.cpp
+++ b/src/libfleet/spec_reader.cpp
@@ -5,7 +5,7 @@
 namespace damask::fleet {
 namespace {
 
-/// Limit of concurrent reads. An answer takes about 5 ms, so the throughput is far above the rate of new
+/// Limit of concurrent reads. A response takes about 5 ms, so the throughput is far above the rate of new
 /// jobs. The limit leaves capacity of the table to others while a new holder reads a backlog.
 constexpr int maxOpenReads = 32;
 constexpr std::chrono::milliseconds retryDelay { 100 };
--- a/src/libfleet/step_advisor.cpp
+++ b/src/libfleet/step_advisor.cpp
@@ -4,12 +4,12 @@
 namespace damask::fleet {
 
 StepAdvisor::StepAdvisor(AdviceControl& service, PoolState& state, const Clock& clock, Metrics& metrics,
-    std::function<void()> onAnswer)
+    std::function<void()> onResponse)
     : m_service(service)
     , m_state(state)
     , m_clock(clock)
     , m_metrics(metrics)
-    , m_onAnswer(std::move(onAnswer))
+    , m_onResponse(std::move(onResponse))
 {
 }
 
@@ -19,25 +19,25 @@
 {
     if (m_isRequestOpen)
         return;
-    const auto question = planAdviceRequest(m_state, m_clock.now());
-    if (!question)
+    const auto request = planAdviceRequest(m_state, m_clock.now());
+    if (!request)
         return;
     m_isRequestOpen = true;
-    m_service.requestAdvice(question->step, question->vms, question->expected,
-        [this, alive = m_alive, question = *question, sentAt = m_clock.now()](
-            const tl::expected<Advice, CommandOutcome>& answer) {
+    m_service.requestAdvice(request->step, request->vms, request->expected,
+        [this, alive = m_alive, request = *request, sentAt = m_clock.now()](
+            const tl::expected<Advice, CommandOutcome>& response) {
             if (!*alive)
                 return;
             m_isRequestOpen = false;
             const auto now = m_clock.now();
             m_metrics.observe("advice_seconds", now - sentAt);
-            logEvent(answer ? LogLevel::Info : LogLevel::Warning, "step_advice",
-                { { "step", toString(question.step) }, { "asked", std::to_string(question.vms.size()) },
+            logEvent(response ? LogLevel::Info : LogLevel::Warning, "step_advice",
+                { { "step", toString(request.step) }, { "asked", std::to_string(request.vms.size()) },
                     { "outcome",
-                        answer ? "answered" : std::string(nameOf(commandOutcomeNames, answer.error())) },
-                    { "allowed", std::to_string(answer ? answer->tickets.size() : 0) } });
-            applyAdvice(m_state, question, answer, now);
-            m_onAnswer();
+                        response ? "answered" : std::string(nameOf(commandOutcomeNames, response.error())) },
+                    { "allowed", std::to_string(response ? response->tickets.size() : 0) } });
+            applyAdvice(m_state, request, response, now);
+            m_onResponse();
         });
 }
 
--- a/src/libfleet/table_follower.cpp
+++ b/src/libfleet/table_follower.cpp
@@ -67,8 +67,8 @@
     m_partsToRead.clear();
     m_loadVersion = 0;
     m_loadStartedAt = m_clock.now();
-    // The version of the first answer is that of the load. Following from there repeats any later change that
-    // another page already contains.
+    // The version of the first response is that of the load. Following from there repeats any later change
+    // that another page already contains.
     readPart("", "");
     if (m_settings.isPartitioned)
         m_partsToRead.push_back(""); // makes readNextPart() list the parts
@@ -140,7 +140,7 @@
             if (!rows)
                 return onFailure(rows.error(), rows.error() == TableFailure::HistoryTruncated);
             onSuccess();
-            // An answer without changes means that the table waited for the whole time.
+            // A response without changes means that the table waited for the whole time.
             m_currentAsOf = rows->rows.empty() ? sentAt + maxFollowWait : sentAt;
             applyChanges(*rows);
             scheduleNext(rows->rows.empty() ? milliseconds(0) : m_settings.pauseAfterChanges);
--- a/src/libfleet/timed_table.cpp
+++ b/src/libfleet/timed_table.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// Returns whether the failure shows that the table has processed the call.
-bool isAnswer(TableFailure failure)
+bool isResponse(TableFailure failure)
 {
     return failure == TableFailure::Conflict || failure == TableFailure::HistoryTruncated
         || failure == TableFailure::Invalid;
@@ -26,13 +26,13 @@
 
 template <typename T> void TimedTable::recordOutcome(const TableResult<T>& result)
 {
-    if (result || isAnswer(result.error()))
+    if (result || isResponse(result.error()))
         recordContact(m_contact, m_clock.now());
     else if (result.error() == TableFailure::NotApplied)
         recordFailedContact(m_contact);
-    // Unknown and Overloaded count neither way. After a lost answer or a timeout the table may have processed
-    // the call, or may be slow; and it reports overload to all nodes when many read at once. If the table
-    // can't be reached, the time since the last answer shows it.
+    // Unknown and Overloaded count neither way. After a lost response or a timeout the table may have
+    // processed the call, or may be slow; and it reports overload to all nodes when many read at once. If the
+    // table is unreachable, the time since the last response shows it.
 }
 
 template <typename T> TableCallback<T> TimedTable::recordingOutcome(TableCallback<T> callback)
--- a/src/libkernel/idempotency.cpp
+++ b/src/libkernel/idempotency.cpp
@@ -28,7 +28,7 @@
     if (claim.fingerprint != fingerprint)
         return RepeatDecision::OtherRequest;
     if (claim.state == ClaimState::Done)
-        return claim.answer ? RepeatDecision::Replay : RepeatDecision::ResponseNotStored;
+        return claim.response ? RepeatDecision::Replay : RepeatDecision::ResponseNotStored;
     const bool isRunning = claim.state == ClaimState::Running && isHolderAlive;
     return isRunning ? RepeatDecision::InUse : RepeatDecision::OutcomeUnknown;
 }
--- a/src/libkernel/idempotency_test.cpp
+++ b/src/libkernel/idempotency_test.cpp
@@ -128,7 +128,7 @@
     BOOST_TEST((decideRepeat(claim, "f", true) == RepeatDecision::OutcomeUnknown));
     claim.state = ClaimState::Done;
     BOOST_TEST((decideRepeat(claim, "f", false) == RepeatDecision::ResponseNotStored));
-    claim.answer = StoredResponse {};
+    claim.response = StoredResponse {};
     BOOST_TEST((decideRepeat(claim, "f", false) == RepeatDecision::Replay));
 }
 
--- a/src/libscheduler/fleet_plan.cpp
+++ b/src/libscheduler/fleet_plan.cpp
@@ -190,7 +190,7 @@
     return started;
 }
 
-bool mayOrder(const FleetState& state, const MachineTask& task)
+bool maySendCommand(const FleetState& state, const MachineTask& task)
 {
     const auto machine = state.machines.find(task.machine);
     if (machine == state.machines.end() || task.state != MachineTaskState::Emptying)
--- a/src/libscheduler/fleet_plan_test.cpp
+++ b/src/libscheduler/fleet_plan_test.cpp
@@ -95,27 +95,27 @@
     BOOST_TEST(planMaintenance(state, limits, clock.now()).size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(maintenanceIsOrderedOnlyAfterDrain)
+BOOST_AUTO_TEST_CASE(maintenanceCommandIsSentOnlyAfterEvacuation)
 {
     addWave({ "a0" }, 4);
     const auto tasks = planMaintenance(state, limits, clock.now());
     BOOST_REQUIRE(tasks.size() == 1u);
-    BOOST_TEST(!mayOrder(state, tasks[0]));
+    BOOST_TEST(!maySendCommand(state, tasks[0]));
     auto task = tasks[0];
     task.id = "7.2";
     state.loads["a"].empty.emplace("a0", "7.2");
-    BOOST_TEST(mayOrder(state, task));
+    BOOST_TEST(maySendCommand(state, task));
 }
 
-BOOST_AUTO_TEST_CASE(drainForAnEarlierTaskDoesNotCount)
+BOOST_AUTO_TEST_CASE(evacuationForAnEarlierTaskDoesNotCount)
 {
-    // Guards against trusting a stale row. When the table was unavailable for 4 s in a simulated day, the
-    // holder's row still listed a machine as drained that had returned and ran tasks again. Maintenance was
-    // ordered and ended a long-running task.
+    // Guards against trusting a stale row. When the table was unreachable for 4 s in a simulated day, the
+    // holder's row still listed a machine as evacuated that had returned and ran tasks again. The
+    // coordinator sent the maintenance command, which ended a long-running task.
     MachineTask task { "a0", MachineAction::Maintain, 1, "", "vm-a0" };
     task.id = "7.2";
     state.loads["a"].empty.emplace("a0", "7.1");
-    BOOST_TEST(!mayOrder(state, task));
+    BOOST_TEST(!maySendCommand(state, task));
 }
 
 BOOST_AUTO_TEST_CASE(machineHasReturnedOnlyWithANewVm)
@@ -140,7 +140,7 @@
     state.machines["a0"].state = MachineState::Down;
     BOOST_TEST(isAbandoned(state, task));
     BOOST_TEST(isAbandoned(state, ordered));
-    // The machine came up again with another VM before it was drained.
+    // The machine came up again with another VM before it was evacuated.
     state.machines["a0"] = { "a0", "a", MachineState::Up, "vm-other" };
     BOOST_TEST(isAbandoned(state, task));
     BOOST_TEST(!isAbandoned(state, ordered));
@@ -207,7 +207,7 @@
     BOOST_TEST(state.machines[moves[2].machine].pool == "b");
     BOOST_TEST(moves[2].machine != "b0");
     // The tasks on the machine finish first.
-    BOOST_TEST(!mayOrder(state, moves[2]));
+    BOOST_TEST(!maySendCommand(state, moves[2]));
 }
 
 BOOST_AUTO_TEST_CASE(poolThatLostAllMachinesGetsOthers)
--- a/src/libscheduler/placement_choice.cpp
+++ b/src/libscheduler/placement_choice.cpp
@@ -10,7 +10,7 @@
 
 bool acceptsWork(const VmState& vm, TimePoint now)
 {
-    return vm.listed && vm.hasReported && !vm.isUnresponsive && !vm.entry.draining && !vm.evacuating
+    return vm.isRegistered && vm.hasReported && !vm.isUnresponsive && !vm.entry.draining && !vm.isEvacuating
         && vm.orphanRuns.empty() && now >= vm.quarantinedUntil;
 }
 
--- a/src/libscheduler/pool_evacuation.cpp
+++ b/src/libscheduler/pool_evacuation.cpp
@@ -39,7 +39,7 @@
 {
     std::vector<Resources> out;
     for (const auto& [name, vm] : state.vms) {
-        if (!vm.listed || !vm.hasReported || vm.isUnresponsive || vm.evacuating || vm.entry.draining)
+        if (!vm.isRegistered || !vm.hasReported || vm.isUnresponsive || vm.isEvacuating || vm.entry.draining)
             continue;
         auto room = vm.entry.capacity;
         for (const auto& run : vm.runs) {
@@ -117,7 +117,7 @@
 void planEvacuations(PoolState& state, TimePoint now)
 {
     for (auto& [name, vm] : state.vms) {
-        const bool isLeaving = vm.evacuating || vm.entry.draining;
+        const bool isLeaving = vm.isEvacuating || vm.entry.draining;
         if (!isLeaving) {
             vm.evacuatingSince = TimePoint {};
             continue;
@@ -131,7 +131,7 @@
                 continue;
             if (stepOf(job, id.step).longRunning)
                 stopWithinBudget(state, job, id, *task, now);
-            else if (vm.evacuating && now - vm.evacuatingSince > state.limits.evacuationTimeout)
+            else if (vm.isEvacuating && now - vm.evacuatingSince > state.limits.evacuationTimeout)
                 markStopping(*task->run, now);
         }
     }
@@ -144,7 +144,8 @@
     const auto rooms = roomBesideLongRunning(state);
     for (const auto& [name, vm] : state.vms) {
         load.usedCpu += vm.used.cpu;
-        if (vm.listed && vm.hasReported && !vm.isUnresponsive && !vm.evacuating && !vm.entry.draining) {
+        if (vm.isRegistered && vm.hasReported && !vm.isUnresponsive && !vm.isEvacuating
+            && !vm.entry.draining) {
             load.capacityCpu += vm.entry.capacity.cpu;
             ++load.workingMachines;
         }
@@ -160,7 +161,7 @@
             load.runs[vm.entry.machine] = std::max(1, static_cast<int>(vm.runs.size()));
         if (!vm.hasReported)
             load.serving.insert(vm.entry.machine);
-        if (vm.evacuating && vm.hasReported && vm.runs.empty() && vm.orphanRuns.empty())
+        if (vm.isEvacuating && vm.hasReported && vm.runs.empty() && vm.orphanRuns.empty())
             load.empty.emplace(vm.entry.machine, vm.evacuationTask);
     }
     for (const auto& [id, job] : state.jobs) {
--- a/src/libscheduler/pool_fixture_test.h
+++ b/src/libscheduler/pool_fixture_test.h
@@ -65,12 +65,12 @@
     }
 
     /// Adds a job. A recovered job gets a record, since an earlier holder has started it.
-    void submit(
-        const std::string& id, std::vector<StepSpec> steps, bool recovered = false, std::string progress = "")
+    void submit(const std::string& id, std::vector<StepSpec> steps, bool isRecovered = false,
+        std::string progress = "")
     {
-        if (recovered && progress.empty())
+        if (isRecovered && progress.empty())
             progress = "{\"state\":\"running\"}";
-        addJob(state, makeJob(id, std::move(steps)), progress, recovered);
+        addJob(state, makeJob(id, std::move(steps)), progress, isRecovered);
     }
 
     void advance(milliseconds span)
--- a/src/libscheduler/pool_pace.cpp
+++ b/src/libscheduler/pool_pace.cpp
@@ -11,8 +11,8 @@
 /// latency is rough and half a second old.
 constexpr double throttleThreshold = 0.85;
 /// Ratio below which the CPU limit of fillers is raised again.
-constexpr double releaseThreshold = 0.5;
-constexpr int releaseStepPercent = 25; ///< by which a CPU limit is raised at a time
+constexpr double raiseThreshold = 0.5;
+constexpr int raiseStepPercent = 25; ///< by which a CPU limit is raised at a time
 constexpr int limitGranularityPercent = 5; ///< halved limits are rounded down to a multiple of this
 
 /// Largest ratio of tail latency to its target among the tasks on the VM.
@@ -39,7 +39,7 @@
     if (found == state.vms.end())
         return out;
     const double ratio = worstLatencyRatio(state, found->second);
-    if (ratio <= throttleThreshold && ratio >= releaseThreshold)
+    if (ratio <= throttleThreshold && ratio >= raiseThreshold)
         return out;
     for (const auto& id : found->second.runs) {
         auto* task = findTask(state, id);
@@ -48,7 +48,7 @@
             continue;
         const int limit = ratio > throttleThreshold
             ? task->run->cpuLimitPercent / 2 / limitGranularityPercent * limitGranularityPercent
-            : std::min(100, task->run->cpuLimitPercent + releaseStepPercent);
+            : std::min(100, task->run->cpuLimitPercent + raiseStepPercent);
         if (limit == task->run->cpuLimitPercent)
             continue;
         task->run->cpuLimitPercent = limit;
--- a/src/libscheduler/pool_plan.cpp
+++ b/src/libscheduler/pool_plan.cpp
@@ -74,7 +74,7 @@
 
 bool isWaiting(const JobEntry& job, const TaskState& task, bool recoveryComplete)
 {
-    return !task.done && !task.run && (recoveryComplete || !job.recovered);
+    return !task.done && !task.run && (recoveryComplete || !job.isRecovered);
 }
 
 void openDueOccurrences(JobEntry& job, WallTime wallNow)
@@ -105,7 +105,7 @@
 
 std::uint32_t nextRun(const PoolState& state, const JobEntry& job, const TaskState& task)
 {
-    return std::max(task.lastRun, job.recovered ? runNumberBase(state.term) : 0) + 1;
+    return std::max(task.lastRun, job.isRecovered ? runNumberBase(state.term) : 0) + 1;
 }
 
 StartAction startRun(PoolState& state, JobEntry& job, const TaskId& id, TaskState& task, VmState& vm,
@@ -116,7 +116,7 @@
     placeRun(state, vm, id, task, run);
     if (job.firstStartAt == TimePoint {})
         job.firstStartAt = now;
-    if (!job.begun)
+    if (!job.hasRecord)
         job.dirty = true; // its record must be durable before the command is sent
     const auto& tickets
         = job.occurrences.at(id.occurrence).steps[static_cast<std::size_t>(id.step)].advice.tickets;
--- a/src/libscheduler/pool_reports.cpp
+++ b/src/libscheduler/pool_reports.cpp
@@ -156,7 +156,7 @@
 {
     auto* task = findTask(state, report.task);
     const auto job = state.jobs.find(report.task.job);
-    const bool adoptable = task && !task->done && !task->run && job->second.recovered
+    const bool adoptable = task && !task->done && !task->run && job->second.isRecovered
         && !isFinal(job->second.state) && report.run >= task->lastRun;
     if (!adoptable) {
         vm.orphanRuns.try_emplace({ report.task, report.run });
@@ -181,8 +181,8 @@
     adoptRun(state, vm, report, now);
 }
 
-/// Releases runs that the VM does not list any more. Before it was asked, it must have confirmed the run, or
-/// its stop, after which a delayed start command can no longer take effect.
+/// Releases runs that the VM does not list any more. Before the heartbeat was sent, it must have confirmed
+/// the run, or its stop, after which a delayed start command can no longer take effect.
 void releaseMissing(PoolState& state, VmState& vm, const std::set<TaskId>& listed, TimePoint sentAt)
 {
     const auto runs = vm.runs;
--- a/src/libscheduler/pool_state.cpp
+++ b/src/libscheduler/pool_state.cpp
@@ -34,7 +34,7 @@
     return it->second;
 }
 
-void addJob(PoolState& state, JobSpec spec, std::string_view progress, bool recovered)
+void addJob(PoolState& state, JobSpec spec, std::string_view progress, bool isRecovered)
 {
     if (state.jobs.contains(spec.id))
         return;
@@ -42,9 +42,9 @@
     job.criticalPath = criticalPathLength(spec.steps);
     job.spec = std::move(spec);
     job.hasSpec = job.spec.specBytes == 0;
-    job.begun = !progress.empty();
+    job.hasRecord = !progress.empty();
     // Without a record no earlier holder has started any task.
-    job.recovered = recovered && job.begun;
+    job.isRecovered = isRecovered && job.hasRecord;
     if (!progress.empty())
         decodeProgress(job, progress);
     if (isFinal(job.state))
@@ -163,7 +163,7 @@
 {
     auto [it, added] = state.vms.try_emplace(entry.id);
     auto& vm = it->second;
-    vm.listed = true;
+    vm.isRegistered = true;
     vm.entry = entry;
 }
 
@@ -171,7 +171,7 @@
 {
     auto found = state.vms.find(id);
     if (found != state.vms.end())
-        found->second.listed = false;
+        found->second.isRegistered = false;
 }
 
 void markUnresponsive(PoolState& state, std::string_view vm)
@@ -218,7 +218,7 @@
             = vm.hasReported ? isLeaseExpired(vm, state.limits, now) : now >= state.recoveryDeadline;
         if (vm.isUnresponsive && vm.hasReported && over)
             releaseAllRuns(state, vm);
-        if (!vm.listed && over && vm.runs.empty()) {
+        if (!vm.isRegistered && over && vm.runs.empty()) {
             it = state.vms.erase(it);
             continue;
         }
--- a/src/libscheduler/pool_state_test.cpp
+++ b/src/libscheduler/pool_state_test.cpp
@@ -337,7 +337,7 @@
     for (const auto& start : first)
         findTask(state, start.command.task)->run->percent = 100;
     for (auto& [id, vm] : state.vms)
-        vm.evacuating = true;
+        vm.isEvacuating = true;
     planEvacuations(state, clock.now());
     BOOST_TEST(planStops(state, clock.now()).size() == 1u);
 }
--- a/src/libscheduler/start_gate.cpp
+++ b/src/libscheduler/start_gate.cpp
@@ -7,7 +7,7 @@
 
 /// Fills the spec and a fresh lease into the start command. Returns false if the run is no longer to be
 /// started.
-bool prepareOrder(PoolState& state, StartAction& start, TimePoint now)
+bool prepareCommand(PoolState& state, StartAction& start, TimePoint now)
 {
     const auto* task = findTask(state, start.command.task);
     const auto vm = state.vms.find(start.vm);
@@ -29,12 +29,12 @@
     std::vector<StartAction> out;
     for (auto it = waiting.begin(); it != waiting.end();) {
         const auto job = state.jobs.find(it->first);
-        if (job != state.jobs.end() && !(job->second.begun && job->second.hasSpec)) {
+        if (job != state.jobs.end() && !(job->second.hasRecord && job->second.hasSpec)) {
             ++it;
             continue;
         }
         for (auto& start : it->second) {
-            if (prepareOrder(state, start, now))
+            if (prepareCommand(state, start, now))
                 out.push_back(std::move(start));
         }
         it = waiting.erase(it);
--- a/src/libscheduler/start_gate_test.cpp
+++ b/src/libscheduler/start_gate_test.cpp
@@ -34,7 +34,7 @@
     BOOST_TEST(state.jobs.at("j1").dirty);
     BOOST_TEST(state.vms.at("v1").used.cpu == 3000);
     BOOST_TEST(releasedStarts().empty());
-    state.jobs.at("j1").begun = true; // its record is durable now
+    state.jobs.at("j1").hasRecord = true; // its record is durable now
     BOOST_TEST(releasedStarts().size() == 3u);
     BOOST_TEST(releasedStarts().empty());
 }
@@ -43,7 +43,7 @@
 {
     submit("j1", { makeStep(5) });
     releasedStarts();
-    state.jobs.at("j1").begun = true;
+    state.jobs.at("j1").hasRecord = true;
     const auto first = releasedStarts();
     BOOST_REQUIRE(first.size() == 4u);
     report("v1", { makeEnd(1, first[0]) });
@@ -56,15 +56,15 @@
     releasedStarts();
     cancelJob(state, "j1");
     planStops(state, clock.now());
-    state.jobs.at("j1").begun = true; // the record of its cancellation is durable
+    state.jobs.at("j1").hasRecord = true; // the record of its cancellation is durable
     BOOST_TEST(releasedStarts().empty());
     BOOST_TEST(waiting.empty());
 }
 
 BOOST_AUTO_TEST_CASE(nextHolderStartsJobsWithoutARecordAtOnce)
 {
-    // Guards against delaying every job after a change of holder. In a simulated day 770 cores' worth of
-    // work per second waited 5 s after each change, with all VMs idle, until no VM could run a task of the
+    // Guards against delaying every job after a takeover. In a simulated day 770 cores' worth of
+    // work per second waited 5 s after each takeover, with all VMs idle, until no VM could run a task of the
     // earlier holder.
     state.term = 1;
     state.recoveryDeadline = clock.now() + 5s;
@@ -86,7 +86,7 @@
     addJob(state, spec, "", false);
     releasedStarts();
     auto& entry = state.jobs.at("j1");
-    entry.begun = true;
+    entry.hasRecord = true;
     BOOST_TEST(releasedStarts().empty());
     entry.spec.spec = "data";
     entry.hasSpec = true;
--- a/src/libscheduler/step_advice.cpp
+++ b/src/libscheduler/step_advice.cpp
@@ -48,23 +48,23 @@
 }
 
 void applyAdvice(PoolState& state, const AdviceRequest& request,
-    const tl::expected<Advice, CommandOutcome>& answer, TimePoint now)
+    const tl::expected<Advice, CommandOutcome>& response, TimePoint now)
 {
     auto* step = findStep(state, request.step);
     if (!step)
         return;
     auto& advice = step->advice;
     advice.isRequestPending = false;
-    if (!answer) {
+    if (!response) {
         advice.nextRequestAt = now + retryDelay;
         return;
     }
     for (const auto& vm : request.vms) {
-        const auto ticket = answer->tickets.find(vm);
-        if (ticket == answer->tickets.end())
+        const auto ticket = response->tickets.find(vm);
+        if (ticket == response->tickets.end())
             advice.deniedVms.insert(vm);
         else
-            advice.tickets[vm] = { ticket->second, now + answer->validFor };
+            advice.tickets[vm] = { ticket->second, now + response->validFor };
     }
 }
 
--- a/src/libscheduler/step_advice_test.cpp
+++ b/src/libscheduler/step_advice_test.cpp
@@ -20,8 +20,8 @@
             addVm(vm);
     }
 
-    /// Answers the next request with tickets for the VMs in \p allowed; returns the VMs of the request.
-    std::vector<std::string> answer(const std::vector<std::string>& allowed)
+    /// Responds to the next request with tickets for the VMs in \p allowed; returns the VMs of the request.
+    std::vector<std::string> respond(const std::vector<std::string>& allowed)
     {
         const auto question = planAdviceRequest(state, clock.now());
         BOOST_REQUIRE(question);
@@ -56,7 +56,7 @@
 {
     submit("j1", { makeStep(6) });
     starts();
-    answer({ "v2" });
+    respond({ "v2" });
     const auto started = startAndAccept();
     BOOST_REQUIRE(started.size() == 4u); // as many as fit there
     for (const auto& start : started) {
@@ -67,7 +67,7 @@
     BOOST_TEST(!wantsAdvice());
     addVm("v4");
     starts();
-    BOOST_TEST(answer({ "v4" }) == std::vector<std::string> { "v4" }, boost::test_tools::per_element());
+    BOOST_TEST(respond({ "v4" }) == std::vector<std::string> { "v4" }, boost::test_tools::per_element());
     BOOST_TEST(startAndAccept().size() == 2u);
 }
 
@@ -75,13 +75,13 @@
 {
     submit("j1", { makeStep(5) });
     starts();
-    answer({ "v2" });
+    respond({ "v2" });
     const auto started = startAndAccept();
     BOOST_REQUIRE(started.size() == 4u);
     advance(2950ms); // the ticket might expire before a command arrives
     report("v2", { makeEnd(1, started[0]) });
     BOOST_TEST(starts().empty());
-    BOOST_TEST(answer({ "v2" }) == std::vector<std::string> { "v2" }, boost::test_tools::per_element());
+    BOOST_TEST(respond({ "v2" }) == std::vector<std::string> { "v2" }, boost::test_tools::per_element());
     BOOST_TEST(startAndAccept().size() == 1u);
 }
 
@@ -89,14 +89,14 @@
 {
     submit("j1", { makeStep(1) });
     starts();
-    answer({ "v1" });
+    respond({ "v1" });
     const auto started = starts();
     BOOST_REQUIRE(started.size() == 1u);
     // The VM was restarted, which invalidates its tickets.
     applyStartOutcome(state, "v1", started[0].command.task, started[0].command.run,
         CommandOutcome::InvalidTicket, clock.now());
     BOOST_TEST(starts().empty());
-    BOOST_TEST(answer({ "v1" }) == std::vector<std::string> { "v1" }, boost::test_tools::per_element());
+    BOOST_TEST(respond({ "v1" }) == std::vector<std::string> { "v1" }, boost::test_tools::per_element());
     BOOST_TEST(starts().size() == 1u);
 }
 
@@ -117,11 +117,11 @@
         addVm("w" + std::to_string(i));
     submit("j1", { makeStep(60) });
     starts();
-    const auto first = answer({ "v1", "w10" });
+    const auto first = respond({ "v1", "w10" });
     BOOST_TEST(first.size() == 30u);
     const auto ran = startAndAccept();
     BOOST_TEST(!ran.empty());
-    BOOST_TEST(answer({}).size() == 13u);
+    BOOST_TEST(respond({}).size() == 13u);
     BOOST_TEST(!wantsAdvice());
 }
 
@@ -131,11 +131,11 @@
     gang.gang = true;
     submit("j1", { gang });
     starts();
-    answer({ "v1" });
+    respond({ "v1" });
     BOOST_TEST(starts().empty());
     addVm("v4");
     starts();
-    answer({ "v4" });
+    respond({ "v4" });
     BOOST_TEST(starts().size() == 2u);
 }
 
--- a/src/libscheduler/table_contact.cpp
+++ b/src/libscheduler/table_contact.cpp
@@ -26,17 +26,17 @@
 
 bool looksReachable(const TableContact& contact, TimePoint now)
 {
-    return contact.failures < failuresUntilDoubted && now - contact.lastAnswer < maxSilence;
+    return contact.failures < failuresUntilDoubted && now - contact.lastResponse < maxSilence;
 }
 
 std::chrono::seconds retryAfter(const TableContact& contact, TimePoint now)
 {
-    return now - contact.lastAnswer < outageThreshold ? shortRetryDelay : longRetryDelay;
+    return now - contact.lastResponse < outageThreshold ? shortRetryDelay : longRetryDelay;
 }
 
 bool isUnreachable(const TableContact& contact, TimePoint now)
 {
-    return contact.failures >= failuresUntilUnreachable || now - contact.lastAnswer >= maxSilence;
+    return contact.failures >= failuresUntilUnreachable || now - contact.lastResponse >= maxSilence;
 }
 
 } // namespace damask::fleet
--- a/src/libscheduler/table_contact_test.cpp
+++ b/src/libscheduler/table_contact_test.cpp
@@ -44,7 +44,7 @@
 
 BOOST_AUTO_TEST_CASE(callerRetriesOutlastATableOutage)
 {
-    // Guards against a Retry-After that is too short: in a simulated day the table was unavailable for 5.5 s,
+    // Guards against a Retry-After that is too short: in a simulated day the table was unreachable for 5.5 s,
     // and a caller that retries every second gives up before that.
     ManualClock clock;
     TableContact contact;
