--- a/src/include/damaskworks/peer.h
+++ b/src/include/damaskworks/peer.h
@@ -30,7 +30,7 @@
     std::size_t chunkBytes = 32 * 1024; ///< rows of one message; the row that reaches the limit is still sent
     std::size_t maxFetchedBytes = 64 * 1024 * 1024; ///< a fetch fails if its rows take more memory
     std::chrono::milliseconds minHintInterval { 250 }; ///< sendHints() does nothing if it is called sooner
-    /// Time limit for an answer, and for the first valid call on an accepted connection.
+    /// Time limit for a response, and for the first valid call on an accepted connection.
     std::chrono::milliseconds callTimeout { 5'000 };
     std::chrono::milliseconds idleTimeout { 60'000 }; ///< closes an accepted connection without a valid call
     std::chrono::milliseconds retryDelay { 5'000 }; ///< until a failed address is tried again
