--- a/src/libresource/validate.cpp
+++ b/src/libresource/validate.cpp
@@ -179,7 +179,7 @@
         if (value.is_string() && value.get_ref<const std::string&>().size() <= rule.maximum
             && value.get_ref<const std::string&>().size() >= rule.minimum)
             return std::nullopt;
-        return describeRange(rule, "a string, length");
+        return "a string, length" + describeRange(rule, "");
     case FieldType::Address:
         if (value.is_string() && http::parseAddress(value.get_ref<const std::string&>()))
             return std::nullopt;
